--- a/internal/dataplane/balance/balance.go
+++ b/internal/dataplane/balance/balance.go
@@ -1,7 +1,7 @@
-// Package balance chooses the instance for a request: the one at which the risk to be
-// late and the price of the bytes between zones are least together. It knows of each
-// instance what its answers reported and what this node has in progress there, and of each
-// route how its service times are spread.
+// Package balance chooses the instance for a request: the one with the lowest sum of the
+// risk of a late answer and the price of the bytes sent between zones. For each instance it
+// tracks the load reported with its answers and the requests that this node has in progress
+// there; for each route, the distribution of its service times.
 package balance
 
 import (
@@ -14,200 +14,202 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// Result is what became of a request at an instance.
+// Result tells how a request ended at an instance.
 type Result uint8
 
-// The results.
+// The values of Result.
 const (
 	// Served: the instance answered.
 	Served Result = 1
 	// Busy: the node beside the instance had no slot for the request.
 	Busy Result = 2
-	// Leaving: the instance or its node takes no new work, or is another one.
-	Leaving Result = 3
-	// Failed: no connection, or no valid answer.
-	Failed Result = 4
-	// Abandoned: the request ended here; it says nothing of the instance.
+	// NotAccepting: the instance or its node accepts no new requests, or another instance
+	// runs at the address.
+	NotAccepting Result = 3
+	// DeliveryFailed: no connection, or no valid answer.
+	DeliveryFailed Result = 4
+	// Abandoned: the request ended at this node, which tells nothing about the instance.
 	Abandoned Result = 5
-	// Erred: the instance failed the request, or did not answer it in its time.
-	Erred Result = 6
-	// Paced: the instance is cold after its start and takes no more requests just now.
-	Paced Result = 7
+	// RequestFailed: the instance failed the request, or did not answer it in time.
+	RequestFailed Result = 6
+	// RateLimited: the instance is warming up and accepts no further request for now.
+	RateLimited Result = 7
 )
 
 const (
-	// leavingTime is how long an instance that leaves gets no requests.
-	leavingTime = 2 * time.Second
-	// firstEjection is how long an instance that failed gets no requests; it
-	// doubles with each failure in a row up to longestEjection.
-	firstEjection   = 250 * time.Millisecond
-	longestEjection = 4 * time.Second
-	// busyTime is how long an instance without a free slot counts as full.
-	busyTime = 100 * time.Millisecond
-	// reportAge is how long a report of the load counts.
-	reportAge = 2 * time.Second
-	// fullAge is how long an instance of another zone that had no free slot is not
-	// asked again: while all are full, sending requests around helps nobody.
-	fullAge = 250 * time.Millisecond
-	// forgetAfter is how long an instance that is not chosen is remembered.
+	// notAcceptingEjection is how long an instance that accepts no new requests is ejected.
+	notAcceptingEjection = 2 * time.Second
+	// minEjection is how long an instance is ejected after a first failed delivery. It
+	// doubles with each further one in a row, up to maxEjection.
+	minEjection = 250 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// busyPeriod is how long an instance without a free slot counts as full.
+	busyPeriod = 100 * time.Millisecond
+	// maxReportAge is the age up to which a load report is used.
+	maxReportAge = 2 * time.Second
+	// fullInstancePeriod is how long an instance of another zone that had no free slot is
+	// not tried again: when all instances are full, sending requests around helps nobody.
+	fullInstancePeriod = 250 * time.Millisecond
+	// forgetAfter is how long the state of an instance that is not chosen is kept.
 	forgetAfter = time.Minute
 
-	// defaultSlots are those of an instance that names none.
+	// defaultSlots is the number of slots of an instance whose entry gives none.
 	defaultSlots = 8
 )
 
 // Options set up a Balancer.
 type Options struct {
 	Zone string
-	// LocalAddress is that of the instance beside this node; empty: none.
+	// LocalAddress is the address of the instance beside this node; empty: none.
 	LocalAddress string
-	// Mechanisms that are on.
+	// Mechanisms are the mechanisms that are switched on.
 	Mechanisms mechanism.Set
-	// Random chooses among equals; nil takes a random one.
+	// Random breaks ties; nil: a randomly seeded source.
 	Random *rand.Rand
 }
 
-// Balancer is safe for concurrent use.
+// Balancer chooses instances. It is safe for concurrent use.
 type Balancer struct {
 	options Options
 
-	mutex     sync.Mutex
-	instances map[string]*state
-	routes    map[string]*timing
-	loads     map[string]*serviceLoad
-	mean      time.Duration // of all requests
-	prunedAt  time.Time
+	mutex           sync.Mutex
+	instances       map[string]*instanceState
+	routes          map[string]*routeStats
+	serviceLoads    map[string]*serviceLoad
+	meanServiceTime time.Duration // of the requests of all routes
+	prunedAt        time.Time
 }
 
-// New returns a Balancer that knows nothing.
+// New returns a Balancer without any measurements.
 func New(options Options) *Balancer {
 	if options.Random == nil {
 		options.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	return &Balancer{options: options, instances: make(map[string]*state), routes: make(map[string]*timing), loads: make(map[string]*serviceLoad), mean: initialService}
+	return &Balancer{options: options, instances: make(map[string]*instanceState), routes: make(map[string]*routeStats), serviceLoads: make(map[string]*serviceLoad), meanServiceTime: initialServiceTime}
 }
 
-// Request is what a choice depends on.
+// Request describes the request that an instance is chosen for.
 type Request struct {
 	Route  string
 	Target time.Duration
-	// Waited is how much of the target is over.
-	Waited time.Duration
-	// Bytes are those of the body.
+	// Elapsed is how much of the target latency has passed.
+	Elapsed time.Duration
+	// Bytes is the size of the body.
 	Bytes int
-	// Instances are those of the service.
+	// Instances are the instances of the service.
 	Instances []snapshot.Instance
-	// Avoid reports instances that must not be chosen.
+	// Avoid reports whether an instance must not be chosen.
 	Avoid func(name string) bool
 	Now   time.Time
 }
 
-// Choice is one instance that was chosen. Done must be called once.
+// Choice is a chosen instance. Done must be called exactly once.
 type Choice struct {
 	Instance snapshot.Instance
-	// Expected is how long the request is expected to take there, with its wait for
-	// a slot; Service without.
-	Expected, Service time.Duration
-	// Ordinary is how long an instance of ordinary speed takes.
-	Ordinary time.Duration
-	// Local is set for the instance beside this node.
+	// ExpectedLatency is how long the request is expected to take at the instance,
+	// including its wait for a slot; ServiceTime excludes that wait.
+	ExpectedLatency, ServiceTime time.Duration
+	// MeanServiceTime is how long an instance of average speed takes.
+	MeanServiceTime time.Duration
+	// Local is set if the instance is the one beside this node.
 	Local bool
 
 	balancer *Balancer
 	route    string
-	// counted is where the request counts as in progress: what becomes of it says nothing of
-	// a later life of the instance.
-	counted *state
+	// state is where the request counts as in progress. Its result must not affect a
+	// later process that runs under the same instance name.
+	state *instanceState
 }
 
-// Pick chooses an instance, or none when there is none left.
+// Pick chooses an instance. It returns false if none is left.
 func (b *Balancer) Pick(request Request) (Choice, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.prune(request.Now)
-	best, found := b.best(request, false)
+	cheapest, found := b.cheapest(request, false)
 	if !found {
-		best, found = b.best(request, true)
+		cheapest, found = b.cheapest(request, true)
 	}
 	if !found {
 		return Choice{}, false
 	}
-	chosen := b.stateOf(&best.instance, request.Now)
+	chosen := b.stateOf(&cheapest.instance, request.Now)
 	if chosen.outstanding == 0 {
-		chosen.heardAt = request.Now
+		chosen.silentSince = request.Now
 	}
 	chosen.outstanding++
-	chosen.usedAt = request.Now
+	chosen.lastPickedAt = request.Now
 	return Choice{
-		Instance: best.instance, Expected: best.expected, Service: best.service, Ordinary: b.timingOf(request.Route).mean,
-		balancer: b, route: request.Route, counted: chosen,
-		Local: b.isLocal(&best.instance),
+		Instance: cheapest.instance, ExpectedLatency: cheapest.expectedLatency, ServiceTime: cheapest.serviceTime, MeanServiceTime: b.routeStatsOf(request.Route).meanServiceTime,
+		balancer: b, route: request.Route, state: chosen,
+		Local: b.isLocal(&cheapest.instance),
 	}, true
 }
 
-// best returns the cheapest candidate; ejected ones count only as a last resort.
-func (b *Balancer) best(request Request, ejected bool) (best candidate, found bool) {
+// cheapest returns the candidate with the lowest cost among the instances that are ejected,
+// or among those that are not. Ejected instances are a last resort.
+func (b *Balancer) cheapest(request Request, ejected bool) (best candidate, found bool) {
 	ties := 0
-	spare := !b.isShort(request.Route) && b.hasOwnZone(request)
+	skipFull := !b.isShort(request.Route) && b.ownZoneAvailable(request)
 	eligible := func(instance *snapshot.Instance) bool {
 		known := b.stateOf(instance, request.Now)
 		return instance.State == snapshot.InstanceReady && !request.Avoid(instance.Name) &&
-			known.ejectedUntil.After(request.Now) == ejected && !known.isPaced(request.Now) &&
-			(!spare || b.isNear(instance) || !known.isFull(instance, request.Now))
+			known.ejectedUntil.After(request.Now) == ejected && !known.isRateLimited(request.Now) &&
+			(!skipFull || b.isInOwnZone(instance) || !known.isFull(instance, request.Now))
 	}
-	sampled := b.sample(request, eligible)
+	sampler := b.newSampler(request, eligible)
 	for i := range request.Instances {
 		instance := &request.Instances[i]
 		if !eligible(instance) {
 			continue
 		}
 		known := b.stateOf(instance, request.Now)
-		if !known.isFresh(request.Now) && !sampled.take(b, instance) {
+		if !known.isFresh(request.Now) && !sampler.take(b, instance) {
 			continue
 		}
-		next := b.evaluate(instance, known, request)
+		evaluated := b.evaluate(instance, known, request)
 		switch {
-		case !found || next.cost < best.cost:
-			best, found, ties = next, true, 1
-		case next.cost == best.cost:
+		case !found || evaluated.cost < best.cost:
+			best, found, ties = evaluated, true, 1
+		case evaluated.cost == best.cost:
 			ties++
 			if b.options.Random.IntN(ties) == 0 {
-				best = next
+				best = evaluated
 			}
 		}
 	}
 	return best, found
 }
 
-// PacedFor is the time until the first of the instances that were found cold, and to
-// have no room just now, takes a request again; zero when none was.
-func (b *Balancer) PacedFor(instances []snapshot.Instance, now time.Time) time.Duration {
+// RateLimitedFor returns the time until the first of the instances that are warming up and
+// rate limited accepts a request again; zero if none is rate limited.
+func (b *Balancer) RateLimitedFor(instances []snapshot.Instance, now time.Time) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	shortest := time.Duration(0)
 	for i := range instances {
 		known := b.instances[instances[i].Name]
-		if known == nil || !known.isPaced(now) {
+		if known == nil || !known.isRateLimited(now) {
 			continue
 		}
-		if left := known.pacedUntil.Sub(now); shortest == 0 || left < shortest {
-			shortest = left
+		if remaining := known.rateLimitedUntil.Sub(now); shortest == 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
 	return shortest
 }
 
-// isShort reports whether requests of a route take little of an instance's time
-// compared with others: they find a place also where others would wait.
+// isShort reports whether requests of a route take much less time than the average: they
+// find a slot even where others would have to wait.
 func (b *Balancer) isShort(route string) bool {
-	return b.timingOf(route).mean < b.mean/2
+	return b.routeStatsOf(route).meanServiceTime < b.meanServiceTime/2
 }
 
-// hasOwnZone reports whether an instance of the own zone takes work.
-func (b *Balancer) hasOwnZone(request Request) bool {
+// ownZoneAvailable reports whether an instance of this node's zone is ready and not ejected.
+func (b *Balancer) ownZoneAvailable(request Request) bool {
 	for i := range request.Instances {
 		instance := &request.Instances[i]
-		if instance.State != snapshot.InstanceReady || !b.isNear(instance) {
+		if instance.State != snapshot.InstanceReady || !b.isInOwnZone(instance) {
 			continue
 		}
 		if known := b.stateOf(instance, request.Now); !known.ejectedUntil.After(request.Now) {
@@ -217,7 +219,7 @@
 	return false
 }
 
-func (b *Balancer) isNear(instance *snapshot.Instance) bool {
+func (b *Balancer) isInOwnZone(instance *snapshot.Instance) bool {
 	return instance.Zone == b.options.Zone || b.isLocal(instance)
 }
 
@@ -232,117 +234,117 @@
 	return b.options.LocalAddress != "" && instance.Address == b.options.LocalAddress
 }
 
-func (b *Balancer) timingOf(route string) *timing {
+func (b *Balancer) routeStatsOf(route string) *routeStats {
 	known := b.routes[route]
 	if known == nil {
-		known = newTiming()
+		known = newRouteStats()
 		b.routes[route] = known
 	}
 	return known
 }
 
-// stateOf is what is known of an instance, with what its entry says now.
-func (b *Balancer) stateOf(instance *snapshot.Instance, now time.Time) *state {
+// stateOf returns the state of an instance, updated with its current entry.
+func (b *Balancer) stateOf(instance *snapshot.Instance, now time.Time) *instanceState {
 	known := b.instances[instance.Name]
 	if known == nil || known.born < instance.Born {
-		known = &state{speed: 1, usedAt: now, born: instance.Born}
+		known = &instanceState{slowdown: 1, lastPickedAt: now, born: instance.Born}
 		b.instances[instance.Name] = known
 	}
 	known.cold.Follow(*instance, now)
 	return known
 }
 
-// prune forgets instances that have not been chosen for long.
+// prune removes the state of instances that have not been chosen for a long time.
 func (b *Balancer) prune(now time.Time) {
 	if now.Sub(b.prunedAt) < forgetAfter {
 		return
 	}
 	b.prunedAt = now
 	for name, known := range b.instances {
-		if known.outstanding == 0 && now.Sub(known.usedAt) > forgetAfter {
+		if known.outstanding == 0 && now.Sub(known.lastPickedAt) > forgetAfter {
 			delete(b.instances, name)
 		}
 	}
 	if len(b.routes) > maxRoutes {
-		b.routes = make(map[string]*timing)
+		b.routes = make(map[string]*routeStats)
 	}
 }
 
-// maxRoutes bounds the routes whose service time is remembered.
+// maxRoutes bounds the number of routes with statistics.
 const maxRoutes = 10_000
 
-// Transition tells whether a result changed what is believed of an instance.
+// Transition tells whether a result changed the availability of an instance.
 type Transition uint8
 
-// The transitions.
+// The values of Transition.
 const (
 	Unchanged Transition = 0
-	// Lost: the instance could not be reached, or left, and gets no requests for a
-	// while.
-	Lost Transition = 1
-	// Regained: it answers again.
-	Regained Transition = 2
+	// Ejected: the instance could not be reached or accepts no new requests. It gets no
+	// requests for a while.
+	Ejected Transition = 1
+	// Recovered: the instance answers again.
+	Recovered Transition = 2
 )
 
-// Done ends a choice with what became of the request. report is nil when none
-// came; bytes are those of the answer.
+// Done reports how the request ended. report is nil if the node beside the instance sent
+// none; bytes is the size of the answer.
 func (c Choice) Done(result Result, report *hop.Report, bytes int, now time.Time) Transition {
 	b := c.balancer
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := c.counted
+	known := c.state
 	known.outstanding = max(known.outstanding-1, 0)
 	if report != nil {
-		known.heardAt = now
-		known.reported, known.reportedWith, known.reportedAt = report.Running+report.Waiting, known.outstanding, now
-		if report.Reason != hop.ReasonUnconfigured { // such a node knows nothing of its instance
+		known.silentSince = now
+		known.reportedLoad, known.outstandingAtReport, known.reportedAt = report.Running+report.Waiting, known.outstanding, now
+		if report.Reason != hop.ReasonUnconfigured { // such a node does not know the state of its instance
 			known.cold.Report(report.ColdFor, now)
 		}
-		known.takeReportedSpeed(report.Speed, now)
-		b.loadOf(c.Instance.Service).note(report, now)
+		known.setReportedSlowdown(report.Speed, now)
+		b.serviceLoadOf(c.Instance.Service).record(report, now)
 		known.backlog, known.linkRate = report.Backlog, kibibyte*float64(report.LinkRate)
 	}
-	was := known.lost
-	known.lost = result == Failed || result == Leaving || was && result != Served && result != Erred
-	if result == Served || result == Erred || result == Failed {
-		known.note(result != Served, now)
+	wasEjected := known.ejected
+	known.ejected = result == DeliveryFailed || result == NotAccepting || wasEjected && result != Served && result != RequestFailed
+	if result == Served || result == RequestFailed || result == DeliveryFailed {
+		known.recordOutcome(result != Served, now)
 	}
 	switch result {
-	case Served, Erred:
-		known.failures = 0
+	case Served, RequestFailed:
+		known.consecutiveFailures = 0
 		known.ejectedUntil, known.busyUntil = time.Time{}, time.Time{}
 		if result == Served && report != nil && report.Execution > 0 {
-			b.measure(c.route, known, report.Execution, bytes, now)
+			b.recordExecution(c.route, known, report.Execution, bytes, now)
 		}
 	case Busy:
-		known.busyUntil = now.Add(busyTime)
-	case Paced:
-		known.pacedUntil = now.Add(report.RetryAfter)
-	case Leaving:
-		known.ejectedUntil = now.Add(leavingTime)
-	case Failed:
-		known.ejectedUntil = now.Add(min(firstEjection<<min(known.failures, 8), longestEjection))
-		known.failures++
+		known.busyUntil = now.Add(busyPeriod)
+	case RateLimited:
+		known.rateLimitedUntil = now.Add(report.RetryAfter)
+	case NotAccepting:
+		known.ejectedUntil = now.Add(notAcceptingEjection)
+	case DeliveryFailed:
+		known.ejectedUntil = now.Add(min(minEjection<<min(known.consecutiveFailures, 8), maxEjection))
+		known.consecutiveFailures++
 	}
 	switch {
-	case known.lost == was:
+	case known.ejected == wasEjected:
 		return Unchanged
-	case known.lost:
-		return Lost
+	case known.ejected:
+		return Ejected
 	default:
-		return Regained
+		return Recovered
 	}
 }
 
-// measure takes over how long an instance worked on a request, and the size of the
+// recordExecution records how long an instance worked on a request, and the size of the
 // answer.
-func (b *Balancer) measure(route string, known *state, execution time.Duration, bytes int, now time.Time) {
-	b.mean += (execution - b.mean) / routeWeight
-	timing := b.timingOf(route)
-	execution = time.Duration(float64(execution) / known.coldness(now))
-	if timing.measured && !known.speedReported {
-		known.measure(float64(execution)/float64(max(timing.mean, time.Millisecond)), now)
+func (b *Balancer) recordExecution(route string, known *instanceState, execution time.Duration, bytes int, now time.Time) {
+	b.meanServiceTime += (execution - b.meanServiceTime) / routeMeanDivisor
+	stats := b.routeStatsOf(route)
+	execution = time.Duration(float64(execution) / known.warmUpSlowdown(now))
+	if stats.measured && !known.slowdownReported {
+		known.recordSlowdown(float64(execution)/float64(max(stats.meanServiceTime, time.Millisecond)), now)
 	}
-	timing.note(execution, known.speedAt(now))
-	timing.answerBytes += (float64(bytes) - timing.answerBytes) / routeWeight
+	stats.recordServiceTime(execution, known.slowdownAt(now))
+	stats.answerBytes += (float64(bytes) - stats.answerBytes) / routeMeanDivisor
 }
--- a/internal/dataplane/balance/balance_test.go
+++ b/internal/dataplane/balance/balance_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestBusyZoneSpillsOver: when the own zone would be late, another one serves.
+// TestBusyZoneSpillsOver: if requests would be late in the node's own zone, another zone
+// serves them.
 func TestBusyZoneSpillsOver(t *testing.T) {
 	c := qt.New(t)
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
@@ -50,17 +51,17 @@
 	c.Check(choice.Instance.Name, qt.Equals, "far")
 }
 
-// learn lets the balancer see requests of some length at an instance.
-func learn(b *balance.Balancer, now time.Time, at snapshot.Instance, execution time.Duration, times int) {
+// recordServed records requests that an instance served in the given time.
+func recordServed(b *balance.Balancer, now time.Time, at snapshot.Instance, execution time.Duration, times int) {
 	for range times {
 		choice, _ := pick(b, now, "", at)
 		choice.Done(balance.Served, &hop.Report{Outcome: hop.Answered, Slots: 4, Execution: execution}, 1500, now)
 	}
 }
 
-// TestSlowOwnZone: a slow instance of the own zone goes first only where its requests
-// are in time; where they may be late, a fast one of another zone does, unless the
-// bytes that would cross are dearer.
+// TestSlowOwnZone: a slow instance of the own zone is preferred only if its answers are in
+// time. If they may be late, a fast one of another zone is chosen, unless the bytes sent
+// there cost more.
 func TestSlowOwnZone(t *testing.T) {
 	for name, row := range map[string]struct {
 		slow  time.Duration
@@ -76,9 +77,9 @@
 			b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 			now := time.Now()
 			home, far := instance("home", "near"), instance("far", "other")
-			for range 20 { // by turns, as in service
-				learn(b, now, far, 100*time.Millisecond, 3)
-				learn(b, now, home, row.slow, 3)
+			for range 20 { // alternately, as in production
+				recordServed(b, now, far, 100*time.Millisecond, 3)
+				recordServed(b, now, home, row.slow, 3)
 			}
 			choice, found := b.Pick(balance.Request{
 				Route: "r", Target: target, Bytes: row.bytes, Instances: []snapshot.Instance{far, home}, Now: now,
@@ -90,24 +91,24 @@
 	}
 }
 
-// TestSlowInstanceIsTriedAgain: an instance that was slow is believed to be ordinary
-// after a while without measurements.
+// TestSlowInstanceIsTriedAgain: a slow instance counts as average after a while without
+// measurements.
 func TestSlowInstanceIsTriedAgain(t *testing.T) {
 	c := qt.New(t)
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 	now := time.Now()
 	home, far := instance("home", "near"), instance("far", "other")
-	learn(b, now, far, 100*time.Millisecond, 30)
-	learn(b, now, home, 2*time.Second, 10)
+	recordServed(b, now, far, 100*time.Millisecond, 30)
+	recordServed(b, now, home, 2*time.Second, 10)
 	choice, _ := pick(b, now, "", far, home)
 	c.Check(choice.Instance.Name, qt.Equals, "far")
 	choice, _ = pick(b, now.Add(time.Minute), "", far, home)
 	c.Check(choice.Instance.Name, qt.Equals, "home")
 }
 
-// TestFullInstancesOfOtherZonesAreSpared: while all are full, requests aren't sent
-// around.
-func TestFullInstancesOfOtherZonesAreSpared(t *testing.T) {
+// TestFullInstancesOfOtherZonesAreSkipped: while all instances are full, requests are not
+// sent from one to the next.
+func TestFullInstancesOfOtherZonesAreSkipped(t *testing.T) {
 	c := qt.New(t)
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 	now := time.Now()
@@ -119,21 +120,22 @@
 	c.Check(found, qt.IsTrue)
 }
 
-// TestLostInstanceIsLeftAlone, unless there is no other, and until it answers.
-func TestLostInstanceIsLeftAlone(t *testing.T) {
+// TestEjectedInstanceIsAvoided: an instance that could not be reached gets no requests until
+// it answers, unless there is no other.
+func TestEjectedInstanceIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 	now := time.Now()
 	choice, _ := pick(b, now, "", instance("home", "near"))
-	c.Check(choice.Done(balance.Failed, nil, 0, now), qt.Equals, balance.Lost)
+	c.Check(choice.Done(balance.DeliveryFailed, nil, 0, now), qt.Equals, balance.Ejected)
 	choice, _ = pick(b, now, "", instance("far", "other"), instance("home", "near"))
 	c.Check(choice.Instance.Name, qt.Equals, "far")
 	choice, found := pick(b, now, "", instance("home", "near"))
 	c.Assert(found, qt.IsTrue)
-	c.Check(choice.Done(balance.Served, nil, 0, now), qt.Equals, balance.Regained)
+	c.Check(choice.Done(balance.Served, nil, 0, now), qt.Equals, balance.Recovered)
 }
 
-func TestDrainingInstancesGetNothing(t *testing.T) {
+func TestDrainingInstanceGetsNoRequests(t *testing.T) {
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 	leaving := instance("home", "near")
 	leaving.State = snapshot.InstanceDraining
@@ -141,17 +143,17 @@
 	qt.Check(t, found, qt.IsFalse)
 }
 
-// TestFailingInstanceIsAvoided: an instance that looks well and fails its requests is
-// left to the other one, also of another zone, until that is forgotten.
+// TestFailingInstanceIsAvoided: an instance that accepts requests but fails them is avoided,
+// even if the other one is in another zone, until its failure rate has decayed.
 func TestFailingInstanceIsAvoided(t *testing.T) {
 	for _, zone := range []string{"near", "other"} {
 		for name, row := range map[string]struct {
 			results []balance.Result
 			avoided bool
 		}{
-			"one failure":           {[]balance.Result{balance.Erred, balance.Served}, false},
-			"two in a row":          {[]balance.Result{balance.Erred, balance.Erred}, true},
-			"failed, then was well": {[]balance.Result{balance.Erred, balance.Erred, balance.Served, balance.Served, balance.Served, balance.Served}, false},
+			"one failure":            {[]balance.Result{balance.RequestFailed, balance.Served}, false},
+			"two in a row":           {[]balance.Result{balance.RequestFailed, balance.RequestFailed}, true},
+			"failed, then recovered": {[]balance.Result{balance.RequestFailed, balance.RequestFailed, balance.Served, balance.Served, balance.Served, balance.Served}, false},
 		} {
 			t.Run(zone+"/"+name, func(t *testing.T) {
 				c := qt.New(t)
@@ -173,8 +175,8 @@
 	}
 }
 
-// TestSilentInstanceIsAvoided: one that has requests in progress and says nothing for
-// much longer than they take gets no more of them, until it answers.
+// TestSilentInstanceIsAvoided: an instance with requests in progress that has been silent
+// for much longer than they take gets no more requests until it answers.
 func TestSilentInstanceIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
@@ -189,12 +191,12 @@
 	c.Check(at(1000), qt.Equals, "far")
 	pending.Done(balance.Served, &hop.Report{Outcome: hop.Answered, Slots: 4, Execution: time.Second}, 0, start.Add(1100*time.Millisecond))
 	c.Check(at(1200), qt.Equals, "home")
-	c.Check(at(5000), qt.Equals, "home") // nothing is in progress
+	c.Check(at(5000), qt.Equals, "home") // no request is in progress
 }
 
-// TestWarmInstanceIsNotPaced: an instance that was cold, and had no room for a while, is
+// TestWarmInstanceIsNotRateLimited: an instance that was rate limited while warming up is
 // chosen as soon as it is warm.
-func TestWarmInstanceIsNotPaced(t *testing.T) {
+func TestWarmInstanceIsNotRateLimited(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
@@ -202,24 +204,23 @@
 	cold.WarmUpMillis = time.Minute.Milliseconds()
 	choice, found := pick(b, now, "", cold)
 	c.Assert(found, qt.IsTrue)
-	choice.Done(balance.Paced, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonCold, RetryAfter: 5 * time.Second, ColdFor: time.Minute, Slots: 4}, 0, now)
+	choice.Done(balance.RateLimited, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonCold, RetryAfter: 5 * time.Second, ColdFor: time.Minute, Slots: 4}, 0, now)
 	soon := now.Add(time.Second)
 	_, found = pick(b, soon, "", cold)
 	c.Check(found, qt.IsFalse)
-	c.Check(b.PacedFor([]snapshot.Instance{cold}, soon), qt.Equals, 4*time.Second)
+	c.Check(b.RateLimitedFor([]snapshot.Instance{cold}, soon), qt.Equals, 4*time.Second)
 	warm := instance("home", "near")
 	_, found = pick(b, soon, "", warm)
 	c.Check(found, qt.IsTrue)
-	c.Check(b.PacedFor([]snapshot.Instance{warm}, soon), qt.Equals, time.Duration(0))
+	c.Check(b.RateLimitedFor([]snapshot.Instance{warm}, soon), qt.Equals, time.Duration(0))
 }
 
-// TestWarmInstanceIsNotPacedForEarlierRequests: warm instances were refused now and then as
-// if they were cold. Requests take their moment before they wait for the balancer, so that
-// one can look at an instance with an earlier moment than the one with which another request
-// noted that it is warm; "cold until the later moment" then counted. The callers' answers
-// told it: "not run: no instance takes work", with no instance having been asked, beside
-// eight and more busy processes.
-func TestWarmInstanceIsNotPacedForEarlierRequests(t *testing.T) {
+// TestWarmInstanceIsNotRateLimitedForEarlierRequests: a request takes its timestamp before
+// it waits for the balancer's lock, so it can look at an instance with an earlier time than
+// the one at which another request saw that the instance is warm. "Cold until the later
+// time" must not count then: warm instances were refused with "not run: no instance takes
+// work" although none had been asked.
+func TestWarmInstanceIsNotRateLimitedForEarlierRequests(t *testing.T) {
 	const refusedFor, coldFor = 5 * time.Second, time.Minute
 	start := time.Now()
 	later, earlier := start.Add(time.Second+time.Millisecond), start.Add(time.Second)
@@ -242,7 +243,7 @@
 			cold.WarmUpMillis, warm.WarmUpMillis = coldFor.Milliseconds(), row.listed.Milliseconds()
 			inProgress, _ := pick(b, start, "", cold)
 			refused, _ := pick(b, start, "", cold)
-			refused.Done(balance.Paced, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonCold, RetryAfter: refusedFor, ColdFor: coldFor, Slots: 4}, 0, start)
+			refused.Done(balance.RateLimited, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonCold, RetryAfter: refusedFor, ColdFor: coldFor, Slots: 4}, 0, start)
 			row.warmed(b, inProgress)
 			_, found := pick(b, earlier, "", warm)
 			c.Check(found, qt.IsTrue)
@@ -250,9 +251,10 @@
 	}
 }
 
-// TestEarlierEntryDoesNotCoolAnInstance: a request that began with an earlier entry of an
-// instance ends after the entry says that it is warm. What it was sent with does not count.
-func TestEarlierEntryDoesNotCoolAnInstance(t *testing.T) {
+// TestEarlierEntryKeepsInstanceWarm: a request that was sent by an earlier entry of an
+// instance ends after a newer entry says that it is warm. The earlier entry must not make
+// the instance count as cold again.
+func TestEarlierEntryKeepsInstanceWarm(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
@@ -260,27 +262,27 @@
 	cold.WarmUpMillis = time.Minute.Milliseconds()
 	inProgress, _ := pick(b, now, "", cold)
 	refused, _ := pick(b, now, "", cold)
-	refused.Done(balance.Paced, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonCold, RetryAfter: 5 * time.Second, ColdFor: time.Minute, Slots: 4}, 0, now)
+	refused.Done(balance.RateLimited, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonCold, RetryAfter: 5 * time.Second, ColdFor: time.Minute, Slots: 4}, 0, now)
 	now = now.Add(time.Second)
 	_, found := pick(b, now, "", warm)
 	c.Assert(found, qt.IsTrue)
-	inProgress.Done(balance.Failed, nil, 0, now)
-	c.Check(b.PacedFor([]snapshot.Instance{warm}, now), qt.Equals, time.Duration(0))
+	inProgress.Done(balance.DeliveryFailed, nil, 0, now)
+	c.Check(b.RateLimitedFor([]snapshot.Instance{warm}, now), qt.Equals, time.Duration(0))
 }
 
-// TestNodeWithoutConfigurationSaysNothingOfTheCold: a node that has just started refuses what
-// it gets, and can't know that its instance is cold. Its report made senders take the instance
-// for warm, although its entry says otherwise.
-func TestNodeWithoutConfigurationSaysNothingOfTheCold(t *testing.T) {
+// TestUnconfiguredNodeDoesNotEndWarmUp: a node that has just started refuses requests and
+// cannot know that its instance is cold. Its report must not make senders count the
+// instance as warm although its entry says that it is cold.
+func TestUnconfiguredNodeDoesNotEndWarmUp(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 	cold := instance("home", "near")
 	cold.WarmUpMillis = time.Minute.Milliseconds()
-	paced, _ := pick(b, now, "", cold)
-	paced.Done(balance.Paced, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonCold, RetryAfter: 5 * time.Second, ColdFor: time.Minute, Slots: 4}, 0, now)
-	started, _ := pick(b, now, "", instance("other", "near"))
-	started.Instance = cold
-	started.Done(balance.Busy, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonUnconfigured, Slots: 4}, 0, now)
-	c.Check(b.PacedFor([]snapshot.Instance{cold}, now), qt.Equals, 5*time.Second)
+	rateLimited, _ := pick(b, now, "", cold)
+	rateLimited.Done(balance.RateLimited, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonCold, RetryAfter: 5 * time.Second, ColdFor: time.Minute, Slots: 4}, 0, now)
+	unconfigured, _ := pick(b, now, "", instance("other", "near"))
+	unconfigured.Instance = cold
+	unconfigured.Done(balance.Busy, &hop.Report{Outcome: hop.Refused, Reason: hop.ReasonUnconfigured, Slots: 4}, 0, now)
+	c.Check(b.RateLimitedFor([]snapshot.Instance{cold}, now), qt.Equals, 5*time.Second)
 }
--- a/internal/dataplane/balance/candidate.go
+++ b/internal/dataplane/balance/candidate.go
@@ -7,94 +7,93 @@
 )
 
 const (
-	// crossZoneCost is what a kibibyte between zones costs, as a share of what an answer
-	// in time is worth.
-	crossZoneCost = 0.03
-	// exchangeBytes are those of a request and its answer besides the bodies.
-	exchangeBytes = 600
-	// slownessCost is what taking the whole target costs, besides the risk to be late:
-	// it decides among instances at which the request is in time alike, or late alike.
-	slownessCost = 0.05
-	// mostSlowness is how many targets count at most.
-	mostSlowness = 10
-	// crowdingCost is what an instance without a free slot costs: less than the risk to
-	// be late, as those who come after need the fast instances too.
-	crowdingCost = 0.05
-	// failingFrom is the share of failed requests from which an instance is left to others
-	// where there are some: two failures in a row, or about two in five. Fewer may be
-	// chance.
-	failingFrom = 0.35
-	// failingCost is what an instance costs all of whose requests fail; chanceCost the
-	// same below failingFrom.
-	failingCost = 2
-	chanceCost  = 0.05
-	kibibyte    = 1024
-	// coldFactor is how much slower an instance is while it warms up.
-	coldFactor = 2.0
+	// crossZoneCostPerKiB is the cost of a kibibyte between zones, as a share of the value of
+	// an answer in time.
+	crossZoneCostPerKiB = 0.03
+	// exchangeOverheadBytes is the size of a request and its answer without their bodies.
+	exchangeOverheadBytes = 600
+	// latencyCost is the cost of using up the whole target latency, besides the risk of a
+	// late answer. It decides between instances with the same risk.
+	latencyCost = 0.05
+	// maxLatencyTargets limits the latency that is counted, in multiples of the target.
+	maxLatencyTargets = 10
+	// occupancyCost is the cost of an instance without a free slot. It is lower than the
+	// cost of a late answer, as later requests need the fast instances too.
+	occupancyCost = 0.05
+	// failureRateThreshold is the failure rate from which an instance is avoided if there
+	// are others: two failures in a row, or about two in five. Fewer may be chance.
+	failureRateThreshold = 0.35
+	// highFailureCost is the cost of an instance at a failure rate of 1, to which the cost is
+	// proportional; lowFailureCost takes its place below failureRateThreshold.
+	highFailureCost = 2
+	lowFailureCost  = 0.05
+	kibibyte        = 1024
+	// coldSlowdown is how many times longer requests take while an instance warms up.
+	coldSlowdown = 2.0
 )
 
-// candidate is an instance that may be chosen.
+// candidate is an instance that may be chosen, with its cost.
 type candidate struct {
 	instance snapshot.Instance
-	// expected is how long the request is expected to take, with its wait; service
-	// without.
-	expected, service time.Duration
-	// cost is the risk that the answer is not in time, and what sending it costs, as a
-	// share of what an answer in time is worth.
+	// expectedLatency is how long the request is expected to take, including its wait for a
+	// slot; serviceTime excludes that wait.
+	expectedLatency, serviceTime time.Duration
+	// cost is the risk that the answer is late plus the cost of sending the request, as a
+	// share of the value of an answer in time.
 	cost float64
 }
 
-// evaluate estimates how long a request takes at an instance and what it costs to
-// send it there.
-func (b *Balancer) evaluate(instance *snapshot.Instance, known *state, request Request) candidate {
-	route := b.timingOf(request.Route)
+// evaluate estimates how long a request takes at an instance and the cost of sending it
+// there.
+func (b *Balancer) evaluate(instance *snapshot.Instance, known *instanceState, request Request) candidate {
+	route := b.routeStatsOf(request.Route)
 	on := b.options.Mechanisms
-	speed := known.coldness(request.Now)
+	slowdown := known.warmUpSlowdown(request.Now)
 	if on.Speeds {
-		speed *= known.speedAt(request.Now)
+		slowdown *= known.slowdownAt(request.Now)
 	}
-	service := time.Duration(float64(route.mean) * speed)
-	load := known.load(b.loadOf(instance.Service).usual(slotsOf(instance), request.Now), request.Now)
-	wait := known.wait(instance, load, time.Duration(float64(b.mean)*speed), request.Now)
+	serviceTime := time.Duration(float64(route.meanServiceTime) * slowdown)
+	load := known.load(b.serviceLoadOf(instance.Service).expectedLoad(slotsOf(instance), request.Now), request.Now)
+	wait := known.slotWait(instance, load, time.Duration(float64(b.meanServiceTime)*slowdown), request.Now)
 	if !b.isLocal(instance) {
-		wait += known.transfer(request.Bytes, request.Now)
+		wait += known.transferTime(request.Bytes, request.Now)
 	}
-	result := candidate{instance: *instance, expected: wait + service, service: service}
-	result.cost = b.risk(route, request, wait, service) + b.zoneCost(instance, route, request) +
-		crowdingCost*min(float64(load)/float64(slotsOf(instance)), 1)
-	failing := 0.0
+	result := candidate{instance: *instance, expectedLatency: wait + serviceTime, serviceTime: serviceTime}
+	result.cost = b.latenessCost(route, request, wait, serviceTime) + b.zoneCost(instance, route, request) +
+		occupancyCost*min(float64(load)/float64(slotsOf(instance)), 1)
+	failureRate := 0.0
 	if on.AvoidFailing {
-		failing = known.failing(request.Now)
+		failureRate = known.failureRateAt(request.Now)
 	}
-	if on.AvoidSilent && known.isSilent(max(route.mean, b.mean), request.Now) {
-		failing = 1
+	if on.AvoidSilent && known.isSilent(max(route.meanServiceTime, b.meanServiceTime), request.Now) {
+		failureRate = 1
 	}
-	result.cost += failureCost(failing)
+	result.cost += failureCost(failureRate)
 	return result
 }
 
-// failureCost is what the share of requests that failed lately costs.
-func failureCost(failing float64) float64 {
-	if failing < failingFrom {
-		return chanceCost * failing
+// failureCost returns the cost of an instance's failure rate.
+func failureCost(failureRate float64) float64 {
+	if failureRate < failureRateThreshold {
+		return lowFailureCost * failureRate
 	}
-	return failingCost * failing
+	return highFailureCost * failureRate
 }
 
-// risk is the probability that the answer is not in time, with a little for the time
-// itself.
-func (b *Balancer) risk(route *timing, request Request, wait, service time.Duration) float64 {
+// latenessCost returns the probability that the answer is late, plus a small cost for the
+// latency itself.
+func (b *Balancer) latenessCost(route *routeStats, request Request, wait, serviceTime time.Duration) float64 {
 	if request.Target <= 0 {
-		return slownessCost * float64(wait+service) / float64(initialService)
+		return latencyCost * float64(wait+serviceTime) / float64(initialServiceTime)
 	}
-	slowness := min(float64(wait+service)/float64(request.Target), mostSlowness)
-	return 1 - route.within(request.Target-request.Waited-wait, service) + slownessCost*slowness
+	latencyTargets := min(float64(wait+serviceTime)/float64(request.Target), maxLatencyTargets)
+	return 1 - route.fractionWithin(request.Target-request.Elapsed-wait, serviceTime) + latencyCost*latencyTargets
 }
 
-// zoneCost is the price of the bytes that would go to another zone and back.
-func (b *Balancer) zoneCost(instance *snapshot.Instance, route *timing, request Request) float64 {
-	if b.isNear(instance) || !b.options.Mechanisms.ZonePrice {
+// zoneCost returns the cost of the bytes that would be sent to another zone and back.
+func (b *Balancer) zoneCost(instance *snapshot.Instance, route *routeStats, request Request) float64 {
+	if b.isInOwnZone(instance) || !b.options.Mechanisms.ZonePrice {
 		return 0
 	}
-	return crossZoneCost * (exchangeBytes + float64(request.Bytes) + route.answerBytes) / kibibyte
+	return crossZoneCostPerKiB * (exchangeOverheadBytes + float64(request.Bytes) + route.answerBytes) / kibibyte
 }
--- a/internal/dataplane/balance/life_test.go
+++ b/internal/dataplane/balance/restart_test.go
@@ -10,9 +10,10 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// TestNextLifeOfAnInstance: an instance that starts again under its name is chosen at once,
-// though its former life failed; what comes late of that life says nothing of the next one.
-func TestNextLifeOfAnInstance(t *testing.T) {
+// TestRestartedInstance: an instance that restarts under the same name is chosen at once
+// although its former process failed. Late results of the former process do not affect the
+// new one.
+func TestRestartedInstance(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := New(Options{Mechanisms: mechanism.All()})
@@ -26,15 +27,15 @@
 	}
 	isEjected := func() bool { return b.instances["i"].ejectedUntil.After(now) }
 	first, late := pick(1), pick(1)
-	first.Done(Failed, nil, 0, now)
+	first.Done(DeliveryFailed, nil, 0, now)
 	c.Check(isEjected(), qt.IsTrue)
 	second := pick(2)
 	c.Check(isEjected(), qt.IsFalse)
 	c.Check(b.instances["i"].outstanding, qt.Equals, 1)
-	late.Done(Failed, nil, 0, now)
+	late.Done(DeliveryFailed, nil, 0, now)
 	c.Check(isEjected(), qt.IsFalse)
 	c.Check(b.instances["i"].outstanding, qt.Equals, 1)
-	pick(1).Done(Abandoned, nil, 0, now) // chosen by an entry of before
+	pick(1).Done(Abandoned, nil, 0, now) // chosen by an earlier entry
 	second.Done(Served, nil, 0, now)
 	c.Check(b.instances["i"].outstanding, qt.Equals, 0)
 }
--- a/internal/dataplane/balance/sample_test.go
+++ b/internal/dataplane/balance/sampler_test.go
@@ -13,19 +13,19 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// report is one of an instance with four slots.
+// report is a report of an instance with four slots.
 func report(running int) *hop.Report {
 	return &hop.Report{Outcome: hop.Answered, Running: running, Slots: 4, Execution: 100 * time.Millisecond}
 }
 
-// TestSendersWithOldInformationSpread: many senders once heard that one instance is idle
-// and fast. That is too old to count, so they do not all choose it.
-func TestSendersWithOldInformationSpread(t *testing.T) {
+// TestSendersWithStaleReportsSpread: many senders have an old report that one instance is
+// idle and fast. The report is too old to be used, so they do not all choose that instance.
+func TestSendersWithStaleReportsSpread(t *testing.T) {
 	const (
-		senders     = 200
-		instances   = 100
-		mostAtOne   = senders / 8 // 4 of 100 instances are drawn: 8 senders expected
-		informedAgo = 5 * time.Second
+		senders   = 200
+		instances = 100
+		maxAtOne  = senders / 8 // 4 of 100 instances are sampled: 8 senders expected
+		reportAge = 5 * time.Second
 	)
 	c := qt.New(t)
 	now := time.Now()
@@ -40,22 +40,22 @@
 		fast := report(0)
 		fast.Speed = 50
 		choice.Done(balance.Served, fast, 0, now)
-		choice, found := pick(b, now.Add(informedAgo), "", all...)
+		choice, found := pick(b, now.Add(reportAge), "", all...)
 		c.Assert(found, qt.IsTrue)
 		chosen[choice.Instance.Name]++
 	}
 	for name, count := range chosen {
-		c.Check(count <= mostAtOne, qt.IsTrue, qt.Commentf("%s was chosen by %d of %d", name, count, senders))
+		c.Check(count <= maxAtOne, qt.IsTrue, qt.Commentf("%s was chosen by %d of %d", name, count, senders))
 	}
 }
 
-// TestSilentInstanceIsNotTakenForIdle: while the instances that report are busy, one that
-// did not report lately is expected to be as busy.
-func TestSilentInstanceIsNotTakenForIdle(t *testing.T) {
+// TestInstanceWithoutReportIsNotAssumedIdle: while the instances that report are busy, one
+// without a recent report is expected to be as busy.
+func TestInstanceWithoutReportIsNotAssumedIdle(t *testing.T) {
 	c := qt.New(t)
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 	now := time.Now()
-	for range 40 { // long enough for the usual load to be known
+	for range 40 { // enough for the average occupancy to settle
 		choice, _ := pick(b, now, "", instance("full", "near"))
 		choice.Done(balance.Served, report(8), 0, now)
 	}
@@ -66,9 +66,9 @@
 	c.Check(choice.Instance.Name, qt.Equals, "free")
 }
 
-// TestSoundInstanceAmongLostOnes: after a loss of power most instances of the list are
-// gone. The few that are left are considered each time, however many are ejected.
-func TestSoundInstanceAmongLostOnes(t *testing.T) {
+// TestHealthyInstanceAmongEjectedOnes: after a power failure most listed instances are gone.
+// The few that are left are considered for each request, however many are ejected.
+func TestHealthyInstanceAmongEjectedOnes(t *testing.T) {
 	c := qt.New(t)
 	b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 	now := time.Now()
@@ -77,7 +77,7 @@
 		gone := instance(fmt.Sprint("gone", i), "near")
 		all = append(all, gone)
 		choice, _ := pick(b, now, "", gone)
-		choice.Done(balance.Leaving, nil, 0, now)
+		choice.Done(balance.NotAccepting, nil, 0, now)
 	}
 	for range 50 {
 		choice, found := pick(b, now, "", all...)
--- a/internal/dataplane/outbound/erred_test.go
+++ b/internal/dataplane/outbound/erred_test.go
@@ -42,7 +42,7 @@
 	}
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, (&exchange{}).erred(balance.Choice{Service: usual}, row.sent), qt.Equals, row.want)
+			qt.Check(t, (&exchange{}).erred(balance.Choice{ServiceTime: usual}, row.sent), qt.Equals, row.want)
 		})
 	}
 }
--- a/internal/dataplane/outbound/exchange.go
+++ b/internal/dataplane/outbound/exchange.go
@@ -117,7 +117,7 @@
 	return e.proxy.balancer.Pick(balance.Request{
 		Route:     e.route.Name,
 		Target:    e.route.TargetLatency,
-		Waited:    time.Since(e.request.Arrived),
+		Elapsed:   time.Since(e.request.Arrived),
 		Bytes:     len(e.request.Body),
 		Instances: e.candidates(),
 		Avoid:     func(name string) bool { return e.tried[name] },
--- a/internal/dataplane/outbound/learn.go
+++ b/internal/dataplane/outbound/learn.go
@@ -31,13 +31,13 @@
 // observation is what a send says of the instance.
 func (e *exchange) observation(choice balance.Choice, sent result) balance.Result {
 	if e.erred(choice, sent) {
-		return balance.Erred
+		return balance.RequestFailed
 	}
 	if e.ctx.Err() != nil && sent.report.Outcome != hop.Answered {
 		if sent.reported || e.callerGone() {
 			return balance.Abandoned
 		}
-		return balance.Failed // nothing was heard until the time was over
+		return balance.DeliveryFailed // nothing was heard until the time was over
 	}
 	switch sent.report.Reason {
 	case hop.ReasonNone:
@@ -45,11 +45,11 @@
 	case hop.ReasonOverloaded, hop.ReasonLink:
 		return balance.Busy
 	case hop.ReasonCold:
-		return balance.Paced
+		return balance.RateLimited
 	case hop.ReasonDraining, hop.ReasonEvacuated, hop.ReasonWrongInstance, hop.ReasonUnconfigured:
-		return balance.Leaving
+		return balance.NotAccepting
 	case hop.ReasonConnect, hop.ReasonBroken, hop.ReasonCrashed:
-		return balance.Failed
+		return balance.DeliveryFailed
 	default:
 		return balance.Abandoned
 	}
@@ -66,7 +66,7 @@
 	if !sent.reported {
 		return false
 	}
-	overdue := report.Execution > overdueFactor*choice.Service
+	overdue := report.Execution > overdueFactor*choice.ServiceTime
 	switch report.Outcome {
 	case hop.Answered:
 		status := sent.answer.Status
--- a/internal/dataplane/outbound/log.go
+++ b/internal/dataplane/outbound/log.go
@@ -66,7 +66,7 @@
 	if sent.err != nil {
 		entry = entry.WithError(sent.err)
 	}
-	if transition == balance.Regained {
+	if transition == balance.Recovered {
 		entry.Info("instance answers again")
 		return
 	}
--- a/internal/dataplane/outbound/order.go
+++ b/internal/dataplane/outbound/order.go
@@ -41,8 +41,8 @@
 		Remaining:     remaining,
 		Due:           due,
 		MaxWait:       e.maxWait(due, remaining),
-		Expected:      min(time.Duration(startShare*float64(choice.Service)), remaining/2),
-		Ordinary:      choice.Ordinary,
+		Expected:      min(time.Duration(startShare*float64(choice.ServiceTime)), remaining/2),
+		Ordinary:      choice.MeanServiceTime,
 		Revision:      uint64(e.current.Version().Revision),
 		Repeatable:    e.route.MayRepeat(e.request.Method),
 		OnlyCandidate: !e.hasOther(choice.Instance.Name),
@@ -58,7 +58,7 @@
 	if e.route.TargetLatency <= 0 {
 		return remaining / 2, queue.Full
 	}
-	allowed := allowedWait(e.route.TargetLatency, choice.Service)
+	allowed := allowedWait(e.route.TargetLatency, choice.ServiceTime)
 	return dueOf(e.route.TargetLatency, allowed, time.Since(e.request.Arrived), e.elapsed())
 }
 
--- a/internal/dataplane/outbound/refuse.go
+++ b/internal/dataplane/outbound/refuse.go
@@ -63,7 +63,7 @@
 		return noInstanceRetry
 	}
 	if e.wait == 0 {
-		e.wait = e.proxy.balancer.PacedFor(e.current.Instances(e.service), time.Now())
+		e.wait = e.proxy.balancer.RateLimitedFor(e.current.Instances(e.service), time.Now())
 	}
 	wait := retryAfterOf(e.wait, time.Until(e.request.Arrived.Add(e.callerTime)), pressure)
 	return wait + time.Duration(rand.Float64()*float64(wait)*retryJitter)
