--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -113,7 +113,7 @@
 	c.Check(assessed.Missing[0].Why, qt.Contains, "keeps a newer configuration")
 	code, _, stderr := run(c, "watch", "--revision", "2:x", "--admin", fleetServer(c, restored(6)))
 	c.Check(code, qt.Equals, ExitUsage)
-	c.Check(stderr, qt.Contains, "is no revision")
+	c.Check(stderr, qt.Contains, "is not a revision")
 }
 
 // TestWatchThatEndsFirstTellsWhatIsMissing ends the wait at the second question.
--- a/internal/contentfile/contentfile_test.go
+++ b/internal/contentfile/contentfile_test.go
@@ -60,7 +60,7 @@
 		{"bad number", "services:\n  - name: a\n    slots: many", `.*content.yaml:3: want a number`},
 		{"no name", "services:\n  - slots: 3", `.*content.yaml:2: this service has no name:`},
 		{"twice", "services:\n  - name: a\n  - name: a", `.*content.yaml:3: service a is already in line 2`},
-		{"bad name", "services:\n  - name: a b", `.*content.yaml: service "a b": a name has letters.*`},
+		{"bad name", "services:\n  - name: a b", `.*content.yaml: service "a b": a name consists of letters.*`},
 		{"missing file", "policies:\n  - none.star", `.*content.yaml:2: policy "none.star" cannot be read: .*`},
 		{"file outside", "policies:\n  - ../none.star", `.*content.yaml:2: policy "../none.star" is not below .*`},
 		{"secret as list", "secrets:\n  - name: a\n    value: [hunter2]", `.*content.yaml:3: want a string`},
--- a/internal/mirror/concurrent_watch_test.go
+++ b/internal/mirror/concurrent_watch_test.go
@@ -156,8 +156,8 @@
 }
 
 // TestNewInstancesComeWithTheDocument: a new ready instance is not published ahead of its document,
-// a changed one is. Otherwise, while 300 nodes start, each sends all instances to all others, which
-// added 4% of a day's traffic between zones.
+// a changed one is. Otherwise, while 300 nodes start, each sends all instances to all others; the
+// traffic between zones then cost an additional 0.04 of a day's value.
 func TestNewInstancesComeWithTheDocument(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -195,7 +195,7 @@
 // block, and is called from several goroutines.
 func (m *Mirror) TellChanges(onChanges func(changes []snapshot.Change)) { m.onChanges = onChanges }
 
-// AwaitRevision returns once the store has a document above the revision, the wait is over or the
+// AwaitRevision returns once the store has changed after the revision, the wait is over or the
 // context ends.
 func (m *Mirror) AwaitRevision(ctx context.Context, after snapshot.Revision, wait time.Duration) (snapshot.Version, source.Outcome) {
 	if !m.acquireReading(ctx) {
--- a/internal/mirror/state.go
+++ b/internal/mirror/state.go
@@ -184,7 +184,7 @@
 func (s *state) newerInstancesSince(previous state) (changed []Item) {
 	for _, item := range s.changedSince(previous) {
 		held, listed := previous.instances[item.Key]
-		if item.Instance != nil && (!listed || item.Instance.Outdates(held)) {
+		if item.Instance != nil && (!listed || item.Instance.Supersedes(held)) {
 			changed = append(changed, item)
 		}
 	}
--- a/internal/snapshot/life_test.go
+++ b/internal/snapshot/address_owner_test.go
@@ -6,16 +6,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestHolderOfAnAddress: of the instances listed at one address, the one that started last has
-// it. An instance that starts again under its name keeps the revision at which it was first
-// listed, so that starts go before revisions where both are known.
-func TestHolderOfAnAddress(t *testing.T) {
+// TestOwnerOfAddress: of the instances listed at one address, the one that started last owns it. An
+// instance that restarts under its name keeps the revision at which it was first listed, so start
+// times take precedence over revisions if both are known.
+func TestOwnerOfAddress(t *testing.T) {
 	at := func(name string, born int64, created Revision) Instance {
 		return Instance{Name: name, Service: "s", Address: "10.0.0.1:80", State: InstanceReady, Born: born, Created: created}
 	}
 	for name, row := range map[string]struct {
 		listed []Instance
-		holder string
+		owner  string
 	}{
 		"listed later":                       {[]Instance{at("a", 0, 5), at("b", 0, 7)}, "b"},
 		"listed earlier, started again":      {[]Instance{at("a", 30, 5), at("b", 20, 7)}, "a"},
@@ -26,7 +26,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			built := newFleet(Content{Instances: row.listed})
-			qt.Check(t, built.byAddress["10.0.0.1:80"].Name, qt.Equals, row.holder)
+			qt.Check(t, built.byAddress["10.0.0.1:80"].Name, qt.Equals, row.owner)
 			qt.Check(t, built.byService["s"], qt.HasLen, 1)
 		})
 	}
--- a/internal/snapshot/build.go
+++ b/internal/snapshot/build.go
@@ -10,22 +10,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// The limits of a route.
+// Limits of the fields of a route.
 const (
-	// MaxPathSegments bounds the segments of a path prefix.
+	// MaxPathSegments is the maximum number of segments of a path prefix.
 	MaxPathSegments = 16
-	// MaxWeight bounds the weight of one target.
+	// MaxWeight is the maximum weight of one target.
 	MaxWeight = 1000
-	// MaxRouteTimeout bounds the timeout of a route.
+	// MaxRouteTimeout is the maximum timeout of a route.
 	MaxRouteTimeout = time.Hour
-	// MinRouteTimeout is the least timeout of a route.
+	// MinRouteTimeout is the minimum timeout of a route.
 	MinRouteTimeout = 10 * time.Millisecond
-	// MaxRouteAttempts bounds the sends of one request.
+	// MaxRouteAttempts is the maximum number of attempts for one request.
 	MaxRouteAttempts = 5
 )
 
-// New returns the snapshot of the given version. It orders the routes as they
-// are matched, and returns no snapshot when Consistent fails.
+// New returns the snapshot of the given version, with the routes in matching order. It returns an
+// error if CheckConsistency does.
 func New(version Version, routes []Route, services []Service, secrets []Secret) (*Snapshot, error) {
 	snapshot := &Snapshot{
 		version:  version,
@@ -39,40 +39,40 @@
 	for _, secret := range secrets {
 		snapshot.secrets[secret.Name] = secret
 	}
-	if err := snapshot.Consistent(); err != nil {
+	if err := snapshot.CheckConsistency(); err != nil {
 		return nil, err
 	}
-	snapshot.routes = inMatchOrder(routes)
+	snapshot.routes = sortedByMatchOrder(routes)
 	snapshot.table = newRouteTable(snapshot.routes)
 	return snapshot, nil
 }
 
-// matchPlace is what a route's place in the order of matching depends on.
-type matchPlace struct {
+// routeSortKey holds what determines the position of a route in the matching order.
+type routeSortKey struct {
 	host               string
 	segments, declared int
 }
 
-// inMatchOrder returns the routes with a host first, longer path prefixes before
-// shorter ones, and equals in declared order.
-func inMatchOrder(routes []Route) []Route {
-	places := make([]matchPlace, len(routes))
+// sortedByMatchOrder returns the routes with a host first, longer path prefixes before shorter ones,
+// and otherwise equal routes in declared order.
+func sortedByMatchOrder(routes []Route) []Route {
+	sortKeys := make([]routeSortKey, len(routes))
 	for i := range routes {
 		match := &routes[i].Match
-		places[i] = matchPlace{host: match.Host, segments: segments(match.PathPrefix), declared: i}
+		sortKeys[i] = routeSortKey{host: match.Host, segments: countSegments(match.PathPrefix), declared: i}
 	}
-	slices.SortFunc(places, func(a, b matchPlace) int {
+	slices.SortFunc(sortKeys, func(a, b routeSortKey) int {
 		return cmp.Or(strings.Compare(b.host, a.host), cmp.Compare(b.segments, a.segments), cmp.Compare(a.declared, b.declared))
 	})
 	ordered := make([]Route, len(routes))
-	for i, place := range places {
-		ordered[i] = routes[place.declared]
+	for i, key := range sortKeys {
+		ordered[i] = routes[key.declared]
 	}
 	return ordered
 }
 
-// segments counts the segments of a path prefix.
-func segments(prefix string) int {
+// countSegments returns the number of segments of a path prefix.
+func countSegments(prefix string) int {
 	trimmed := strings.Trim(prefix, "/")
 	if trimmed == "" {
 		return 0
@@ -80,9 +80,9 @@
 	return strings.Count(trimmed, "/") + 1
 }
 
-// Consistent is the closure check: each service and secret that a route names is
-// held, and each route can be matched and sent. It returns the first fault.
-func (s *Snapshot) Consistent() error {
+// CheckConsistency checks that every service and secret named by a route is part of the snapshot, and that
+// every route can be matched and forwarded. It returns the first error.
+func (s *Snapshot) CheckConsistency() error {
 	if s.version.IsZero() {
 		return eris.New("the snapshot has no version")
 	}
@@ -90,7 +90,7 @@
 	for i := range s.routes {
 		route := &s.routes[i]
 		if names[route.Name] {
-			return eris.Errorf("route %q is there twice", route.Name)
+			return eris.Errorf("route %q appears twice", route.Name)
 		}
 		names[route.Name] = true
 		if err := s.checkRoute(route); err != nil {
@@ -107,7 +107,7 @@
 	if err := checkMatch(route.Match); err != nil {
 		return err
 	}
-	if err := checkSending(route); err != nil {
+	if err := checkForwarding(route); err != nil {
 		return err
 	}
 	if err := s.checkTargets(route.Targets); err != nil {
@@ -115,7 +115,7 @@
 	}
 	for _, attached := range route.Secrets {
 		if _, held := s.secrets[attached.Secret]; !held {
-			return eris.Errorf("secret %q is not in this version", attached.Secret)
+			return eris.Errorf("secret %q is not defined in this version", attached.Secret)
 		}
 		if attached.Header == "" {
 			return eris.Errorf("secret %q has no header", attached.Secret)
@@ -132,7 +132,7 @@
 	if strings.Contains(strings.Trim(prefix, "/"), "//") {
 		return eris.Errorf("path %q has an empty segment", prefix)
 	}
-	if segments(prefix) > MaxPathSegments {
+	if countSegments(prefix) > MaxPathSegments {
 		return eris.Errorf("path %q has more than %d segments", prefix, MaxPathSegments)
 	}
 	if match.Host != strings.ToLower(match.Host) || match.Host != hostName(match.Host) {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func checkSending(route *Route) error {
+func checkForwarding(route *Route) error {
 	if route.Timeout < MinRouteTimeout || route.Timeout > MaxRouteTimeout {
 		return eris.Errorf("timeout %s is not between %s and %s", route.Timeout, MinRouteTimeout, MaxRouteTimeout)
 	}
@@ -149,7 +149,7 @@
 		return eris.Errorf("%d attempts is not between 1 and %d", route.MaxAttempts, MaxRouteAttempts)
 	}
 	if route.Limits.MaxInFlight < 0 || route.Limits.MaxQueued < 0 {
-		return eris.New("a limit is below 0")
+		return eris.New("a limit is negative")
 	}
 	if !(route.SpillOver >= 0 && route.SpillOver <= 1) {
 		return eris.Errorf("spill-over %v is not between 0 and 1", route.SpillOver)
@@ -163,7 +163,7 @@
 	}
 	for _, target := range targets {
 		if _, held := s.services[target.Service]; !held {
-			return eris.Errorf("service %q is not in this version", target.Service)
+			return eris.Errorf("service %q is not defined in this version", target.Service)
 		}
 		if target.Weight < 1 || target.Weight > MaxWeight {
 			return eris.Errorf("weight %d of service %q is not between 1 and %d", target.Weight, target.Service, MaxWeight)
@@ -172,12 +172,12 @@
 	return nil
 }
 
-// SameRoutes reports whether both snapshots route alike.
+// SameRoutes reports whether both snapshots have the same routes.
 func (s *Snapshot) SameRoutes(other *Snapshot) bool {
 	return reflect.DeepEqual(s.routes, other.routes)
 }
 
-// String names the version only, as the snapshot holds secrets.
+// String returns only the version, as the snapshot contains secrets.
 func (s *Snapshot) String() string { return "snapshot " + s.version.String() }
 
 // GoString hides the content from the %#v verb.
--- a/internal/snapshot/change.go
+++ b/internal/snapshot/change.go
@@ -8,36 +8,36 @@
 	"github.com/rotisserie/eris"
 )
 
-// Change is what the source says of one instance or evacuation from a revision on. It travels
-// ahead of the document of that revision, which says the same and may take much longer: of
-// two changes of one key the one with the higher revision holds, in whatever order they come.
+// Change is the state of one instance or evacuation from a revision of the source on. It is sent
+// ahead of the document of that revision, which contains the same and may take much longer to
+// arrive. Of two changes of one key the one with the higher revision wins, in any order of arrival.
 type Change struct {
-	// Revision is that of the source at which it came to be so.
+	// Revision is the source's revision at which the change was made.
 	Revision Revision
 	// Key is of KindInstance or KindEvacuation.
 	Key Key
-	// Instance is what is listed under the name; nil: it is gone.
+	// Instance is the listed instance; nil if it was removed.
 	Instance *Instance
 	// Evacuated says whether the zone is evacuated.
 	Evacuated bool
 }
 
-// InstanceChange says that an instance is listed.
+// InstanceChange returns the change that lists an instance.
 func InstanceChange(revision Revision, instance Instance) Change {
 	return Change{Revision: revision, Key: Key{Kind: KindInstance, Name: instance.Name}, Instance: &instance}
 }
 
-// InstanceGone says that no instance is listed under a name.
+// InstanceGone returns the change that removes the instance of a name.
 func InstanceGone(revision Revision, name string) Change {
 	return Change{Revision: revision, Key: Key{Kind: KindInstance, Name: name}}
 }
 
-// EvacuationChange says whether a zone is evacuated.
+// EvacuationChange returns the change that starts or ends the evacuation of a zone.
 func EvacuationChange(revision Revision, zone string, evacuated bool) Change {
 	return Change{Revision: revision, Key: Key{Kind: KindEvacuation, Name: zone}, Evacuated: evacuated}
 }
 
-// Resource returns the changed resource in its encoded form, without a body if it is gone.
+// Resource returns the changed resource in encoded form, without a body if it was removed.
 func (c Change) Resource() (Resource, error) {
 	switch {
 	case c.Instance != nil:
@@ -49,15 +49,15 @@
 	}
 }
 
-// ChangeOf returns the change that a resource in its encoded form stands for, or why there
-// is none.
+// ChangeOf decodes a change from a resource in encoded form, or returns an error if the resource is
+// not a valid change.
 func ChangeOf(revision Revision, resource Resource) (Change, error) {
 	change := Change{Revision: revision, Key: resource.Key}
 	if revision == 0 {
 		return change, eris.Errorf("%s: the change has no revision", resource.Key)
 	}
 	if resource.Key.Kind != KindInstance && resource.Key.Kind != KindEvacuation {
-		return change, eris.Errorf("%s: a change of this kind comes with a document only", resource.Key)
+		return change, eris.Errorf("%s: resources of this kind change only with a document", resource.Key)
 	}
 	if err := checkName(resource.Key.Kind, resource.Key.Name); err != nil || len(resource.Body) == 0 {
 		return change, err
@@ -73,19 +73,19 @@
 	return change, nil
 }
 
-// maxChanges bounds the changes that are held ahead of documents. A document holds no more
-// instances than that.
+// maxChanges bounds the changes held ahead of documents. A document contains no more instances
+// than that.
 const maxChanges = MaxTypedResources
 
-// Changes are the newest changes ahead of a document, by key. The zero value holds none.
+// Changes holds the newest change of each key ahead of a document. The zero value is empty.
 type Changes struct{ byKey map[Key]Change }
 
 // Len returns how many changes are held.
 func (c *Changes) Len() int { return len(c.byKey) }
 
-// Add takes those changes over that are newer than the document of the revision and than
-// what is held, and returns them.
-func (c *Changes) Add(changes []Change, document Revision) (news []Change) {
+// Add adds the changes that are newer than the document of the given revision and than the held
+// change of their key, and returns them.
+func (c *Changes) Add(changes []Change, document Revision) (added []Change) {
 	for _, change := range changes {
 		held, known := c.byKey[change.Key]
 		if change.Revision <= document || known && held.Revision >= change.Revision || !known && len(c.byKey) >= maxChanges {
@@ -95,18 +95,18 @@
 			c.byKey = make(map[Key]Change)
 		}
 		c.byKey[change.Key] = change
-		news = append(news, change)
+		added = append(added, change)
 	}
-	return news
+	return added
 }
 
-// DropUpTo drops the changes that the document of a revision holds.
+// DropUpTo drops the changes that are included in the document of a revision.
 func (c *Changes) DropUpTo(document Revision) {
 	maps.DeleteFunc(c.byKey, func(_ Key, change Change) bool { return change.Revision <= document })
 }
 
-// Apply returns the content of a document as it is with the changes that came after it. An
-// instance of a service that the content does not name is left out, as in a document.
+// Apply returns the content of a document with the later changes applied. As in a document, instances
+// of services that the content does not name are left out.
 func (c *Changes) Apply(content Content) Content {
 	if len(c.byKey) == 0 {
 		return content
@@ -114,12 +114,12 @@
 	unchanged := func(kind Kind, name string) bool {
 		return c.byKey[Key{Kind: kind, Name: name}].Revision <= content.Revision
 	}
-	instances := keep(content.Instances, func(instance Instance) bool { return unchanged(KindInstance, instance.Name) })
-	evacuations := keep(content.Evacuations, func(evacuation Evacuation) bool { return unchanged(KindEvacuation, evacuation.Zone) })
+	instances := filter(content.Instances, func(instance Instance) bool { return unchanged(KindInstance, instance.Name) })
+	evacuations := filter(content.Evacuations, func(evacuation Evacuation) bool { return unchanged(KindEvacuation, evacuation.Zone) })
 	for _, change := range c.byKey {
 		switch {
 		case change.Revision <= content.Revision:
-		case change.Instance != nil && content.names(change.Instance.Service):
+		case change.Instance != nil && content.allowsService(change.Instance.Service):
 			instances = append(instances, *change.Instance)
 		case change.Evacuated:
 			evacuations = append(evacuations, Evacuation{Zone: change.Key.Name})
@@ -130,7 +130,7 @@
 	return content
 }
 
-// OfFormerEpochs returns the changes from before an epoch.
+// OfFormerEpochs returns the changes made before an epoch.
 func (c *Changes) OfFormerEpochs(epoch uint64) (found []Change) {
 	for _, change := range c.byKey {
 		if change.Revision.Epoch() < epoch {
@@ -140,15 +140,15 @@
 	return found
 }
 
-// sinceEpoch returns the change of a key, if it is from an epoch or a later one.
+// sinceEpoch returns the change of a key if it was made in the given epoch or later.
 func (c *Changes) sinceEpoch(epoch uint64, key Key) (change Change, found bool) {
 	change, found = c.byKey[key]
 	return change, found && change.Revision.Epoch() >= epoch
 }
 
-// goneAfter returns the revisions from which on instances are gone by the changes that came
-// after a document, by name.
-func (c *Changes) goneAfter(document Revision) map[string]Revision {
+// removedAfter returns the instances removed by changes later than a document, by name, with the
+// revisions of these changes.
+func (c *Changes) removedAfter(document Revision) map[string]Revision {
 	var found map[string]Revision
 	for key, change := range c.byKey {
 		if key.Kind != KindInstance || change.Instance != nil || change.Revision <= document {
@@ -162,24 +162,24 @@
 	return found
 }
 
-// names reports whether instances of a service may be listed: all may where no service is
-// named.
-func (c *Content) names(service string) bool {
+// allowsService reports whether instances of a service may be listed. All may if the content names
+// no services.
+func (c *Content) allowsService(service string) bool {
 	return len(c.Services) == 0 || slices.ContainsFunc(c.Services, func(named Service) bool { return named.Name == service })
 }
 
-// keep returns the values that pass, in a slice of their own.
-func keep[T any](values []T, passes func(T) bool) []T {
+// filter returns the values that satisfy the predicate, in a new slice.
+func filter[T any](values []T, predicate func(T) bool) []T {
 	kept := make([]T, 0, len(values))
 	for _, value := range values {
-		if passes(value) {
+		if predicate(value) {
 			kept = append(kept, value)
 		}
 	}
 	return kept
 }
 
-// CompareChanges orders changes by revision, and those of one revision by key.
+// CompareChanges orders changes by revision, and changes of one revision by key.
 func CompareChanges(a, b Change) int {
 	return cmp.Or(cmp.Compare(a.Revision, b.Revision), compareKeys(a.Key, b.Key))
 }
--- a/internal/snapshot/change_test.go
+++ b/internal/snapshot/change_test.go
@@ -6,16 +6,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func instanceAt(name string, state Lifecycle) Instance {
+func testInstance(name string, state Lifecycle) Instance {
 	return Instance{Name: name, Service: "a", Zone: "z", Address: "10.0.0.1:80", State: state}
 }
 
 func TestChangeRoundTrip(t *testing.T) {
 	for name, change := range map[string]Change{
-		"listed":     InstanceChange(7, instanceAt("i-1", InstanceDraining)),
-		"gone":       InstanceGone(8, "i-1"),
-		"evacuated":  EvacuationChange(9, "z", true),
-		"taken back": EvacuationChange(10, "z", false),
+		"listed":           InstanceChange(7, testInstance("i-1", InstanceDraining)),
+		"gone":             InstanceGone(8, "i-1"),
+		"evacuated":        EvacuationChange(9, "z", true),
+		"evacuation ended": EvacuationChange(10, "z", false),
 	} {
 		t.Run(name, func(t *testing.T) {
 			resource, err := change.Resource()
@@ -27,19 +27,19 @@
 	}
 }
 
-// TestWrongChanges: what a peer sends is checked as a resource of a document is.
-func TestWrongChanges(t *testing.T) {
-	listed, err := InstanceChange(7, instanceAt("i-1", InstanceReady)).Resource()
+// TestInvalidChanges: changes from peers are validated like the resources of a document.
+func TestInvalidChanges(t *testing.T) {
+	listed, err := InstanceChange(7, testInstance("i-1", InstanceReady)).Resource()
 	qt.Assert(t, err, qt.IsNil)
 	for name, row := range map[string]struct {
 		revision Revision
 		resource Resource
 	}{
 		"no revision":        {0, listed},
-		"another kind":       {7, Resource{Key: Key{Kind: KindRoute, Name: "r"}}},
+		"wrong kind":         {7, Resource{Key: Key{Kind: KindRoute, Name: "r"}}},
 		"no name":            {7, Resource{Key: Key{Kind: KindInstance}}},
 		"another name":       {7, Resource{Key: Key{Kind: KindInstance, Name: "i-2"}, Body: listed.Body}},
-		"no JSON":            {7, Resource{Key: listed.Key, Body: []byte("x")}},
+		"not JSON":           {7, Resource{Key: listed.Key, Body: []byte("x")}},
 		"not canonical":      {7, Resource{Key: listed.Key, Body: append([]byte(" "), listed.Body...)}},
 		"body of other kind": {7, Resource{Key: Key{Kind: KindEvacuation, Name: "i-1"}, Body: listed.Body}},
 	} {
@@ -50,23 +50,23 @@
 	}
 }
 
-// TestChangesAheadOfADocument: of each key the newest holds, of the document and the changes,
-// and instances of services that the document does not name stay out.
-func TestChangesAheadOfADocument(t *testing.T) {
+// TestChangesAheadOfDocument: the newest state of each key wins, whether it is in the document or in
+// a change, and instances of services that the document does not name are left out.
+func TestChangesAheadOfDocument(t *testing.T) {
 	content := Content{
 		Revision: 10, Services: []Service{{Name: "a"}},
-		Instances:   []Instance{instanceAt("i-1", InstanceReady), instanceAt("i-2", InstanceReady), instanceAt("i-3", InstanceReady)},
+		Instances:   []Instance{testInstance("i-1", InstanceReady), testInstance("i-2", InstanceReady), testInstance("i-3", InstanceReady)},
 		Evacuations: []Evacuation{{Zone: "y"}},
 	}
-	foreign := instanceAt("i-5", InstanceReady)
+	foreign := testInstance("i-5", InstanceReady)
 	foreign.Service = "b"
 	var changes Changes
 	added := changes.Add([]Change{
-		InstanceChange(12, instanceAt("i-1", InstanceDraining)),
-		InstanceChange(11, instanceAt("i-1", InstanceReady)), // late
+		InstanceChange(12, testInstance("i-1", InstanceDraining)),
+		InstanceChange(11, testInstance("i-1", InstanceReady)), // arrives late
 		InstanceGone(11, "i-2"),
-		InstanceGone(10, "i-3"), // the document knows better
-		InstanceChange(13, instanceAt("i-4", InstanceReady)),
+		InstanceGone(10, "i-3"), // already included in the document
+		InstanceChange(13, testInstance("i-4", InstanceReady)),
 		InstanceChange(13, foreign),
 		EvacuationChange(11, "y", false),
 		EvacuationChange(12, "z", true),
@@ -74,11 +74,11 @@
 	qt.Check(t, added, qt.HasLen, 6)
 	applied := changes.Apply(content)
 	qt.Check(t, applied.Instances, qt.DeepEquals, []Instance{
-		instanceAt("i-1", InstanceDraining), instanceAt("i-3", InstanceReady), instanceAt("i-4", InstanceReady),
+		testInstance("i-1", InstanceDraining), testInstance("i-3", InstanceReady), testInstance("i-4", InstanceReady),
 	})
 	qt.Check(t, applied.Evacuations, qt.DeepEquals, []Evacuation{{Zone: "z"}})
 	qt.Check(t, content.Instances, qt.HasLen, 3)
-	qt.Check(t, changes.goneAfter(content.Revision), qt.DeepEquals, map[string]Revision{"i-2": 11})
+	qt.Check(t, changes.removedAfter(content.Revision), qt.DeepEquals, map[string]Revision{"i-2": 11})
 
 	changes.DropUpTo(12)
 	qt.Check(t, changes.Len(), qt.Equals, 2)
--- a/internal/snapshot/delta.go
+++ b/internal/snapshot/delta.go
@@ -8,19 +8,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// The reasons why a delta cannot be applied; test with errors.Is. After either
-// one the whole document has to be fetched.
+// The reasons why a delta cannot be applied; test with errors.Is. After either error the whole
+// document has to be fetched.
 var (
-	// ErrWrongBase means that the delta starts from another version.
-	ErrWrongBase = eris.New("the delta starts from another version")
-	// ErrWrongContent means that the result is not the promised version.
-	ErrWrongContent = eris.New("the delta does not lead to the version it promises")
+	// ErrWrongBase means that the delta is based on another version.
+	ErrWrongBase = eris.New("the delta is based on another version")
+	// ErrWrongContent means that the result does not have the target version.
+	ErrWrongContent = eris.New("the delta does not produce its target version")
 )
 
 // IsWhole reports whether the delta carries a whole document.
 func (d Delta) IsWhole() bool { return d.Base.IsZero() }
 
-// Size returns the bytes of the names and bodies that the delta carries.
+// Size returns the size in bytes of the names and bodies in the delta.
 func (d Delta) Size() int {
 	size := 0
 	for _, resource := range d.Changed {
@@ -32,8 +32,8 @@
 	return size
 }
 
-// Diff returns what turns base into target. base may be nil: the result then
-// carries all of target.
+// Diff returns the delta that turns base into target. If base is nil, the delta carries all of
+// target.
 func Diff(base, target *Document) Delta {
 	if base == nil {
 		return Delta{Target: target.version, Origin: target.content.Origin, Changed: slices.Clone(target.resources)}
@@ -58,8 +58,7 @@
 	return delta
 }
 
-// compareHeads orders the first resources of two sorted lists; an empty list
-// comes last.
+// compareHeads compares the first resources of two sorted lists; an empty list sorts last.
 func compareHeads(a, b []Resource) int {
 	switch {
 	case len(a) == 0:
@@ -71,10 +70,10 @@
 	}
 }
 
-// Apply returns the document that the delta leads to. base may be nil when
-// d.Base is zero. The result has exactly the version d.Target; otherwise Apply
-// returns an error (ErrWrongBase, ErrWrongContent or what is wrong with a
-// resource) and no document. The document keeps the bodies of the delta.
+// Apply returns the document that results from applying the delta to base, which may be nil if
+// d.Base is zero. The result has exactly the version d.Target; otherwise Apply returns an error:
+// ErrWrongBase, ErrWrongContent or the reason why a resource is invalid. The document shares the
+// bodies of the delta.
 func (d Delta) Apply(base *Document) (*Document, error) {
 	if d.IsWhole() {
 		base = &Document{}
@@ -90,7 +89,7 @@
 		return nil, err
 	}
 	if hash := hashDigests(merged.digests); hash != d.Target.Hash {
-		return nil, eris.Wrapf(ErrWrongContent, "got hash %s, promised %s", hash, d.Target)
+		return nil, eris.Wrapf(ErrWrongContent, "got hash %s, want %s", hash, d.Target)
 	}
 	content, err := merged.decode(base)
 	if err != nil {
@@ -100,23 +99,23 @@
 	return &Document{version: d.Target, content: content, resources: merged.resources, digests: merged.digests}, nil
 }
 
-// mergedResources are the resources of a delta's result, in order.
+// mergedResources holds the sorted resources that result from a delta.
 type mergedResources struct {
 	resources []Resource
 	digests   []resourceDigest
-	// heldAt is where base has the same resource, or notHeld.
-	heldAt []int
+	// baseIndex holds the index of the same resource in base, or notInBase.
+	baseIndex []int
 }
 
-const notHeld = -1
+const notInBase = -1
 
-func (m *mergedResources) add(resource Resource, digest resourceDigest, heldAt int) {
+func (m *mergedResources) add(resource Resource, digest resourceDigest, baseIndex int) {
 	m.resources = append(m.resources, resource)
 	m.digests = append(m.digests, digest)
-	m.heldAt = append(m.heldAt, heldAt)
+	m.baseIndex = append(m.baseIndex, baseIndex)
 }
 
-// merge returns base's resources without the removed and with the changed ones.
+// merge returns base's resources with the removals and changes of the delta applied.
 func (d Delta) merge(base *Document) (*mergedResources, error) {
 	changed, removed, err := d.sorted()
 	if err != nil {
@@ -124,11 +123,11 @@
 	}
 	size := len(base.resources) + len(changed)
 	merged := &mergedResources{
-		resources: make([]Resource, 0, size), digests: make([]resourceDigest, 0, size), heldAt: make([]int, 0, size),
+		resources: make([]Resource, 0, size), digests: make([]resourceDigest, 0, size), baseIndex: make([]int, 0, size),
 	}
-	for at, held := range base.resources {
+	for index, held := range base.resources {
 		for len(changed) > 0 && compareResources(changed[0], held) < 0 {
-			merged.add(changed[0], digestOf(changed[0]), notHeld)
+			merged.add(changed[0], digestOf(changed[0]), notInBase)
 			changed = changed[1:]
 		}
 		for len(removed) > 0 && compareKeys(removed[0], held.Key) < 0 {
@@ -138,23 +137,23 @@
 		case len(removed) > 0 && removed[0] == held.Key:
 		case len(changed) > 0 && changed[0].Key == held.Key:
 			if bytes.Equal(changed[0].Body, held.Body) {
-				merged.add(held, base.digests[at], at)
+				merged.add(held, base.digests[index], index)
 			} else {
-				merged.add(changed[0], digestOf(changed[0]), notHeld)
+				merged.add(changed[0], digestOf(changed[0]), notInBase)
 			}
 			changed = changed[1:]
 		default:
-			merged.add(held, base.digests[at], at)
+			merged.add(held, base.digests[index], index)
 		}
 	}
 	for _, resource := range changed {
-		merged.add(resource, digestOf(resource), notHeld)
+		merged.add(resource, digestOf(resource), notInBase)
 	}
 	return merged, nil
 }
 
-// sorted returns what the delta changes and removes in order, or an error when it
-// names a resource twice.
+// sorted returns the changes and removals of the delta in order, or an error if it names a resource
+// twice.
 func (d Delta) sorted() (changed []Resource, removed []Key, err error) {
 	changed, removed = slices.Clone(d.Changed), slices.Clone(d.Removed)
 	slices.SortFunc(changed, compareResources)
@@ -168,9 +167,8 @@
 	return changed, removed, nil
 }
 
-// decode returns the content of the resources. Those that base holds were decoded
-// and checked before and are taken from it; a kind of which nothing changed shares
-// base's list.
+// decode returns the content of the resources. Values of resources that are unchanged from base were
+// decoded and checked before and are reused; a kind without any change shares base's slice.
 func (m *mergedResources) decode(base *Document) (Content, error) {
 	var content Content
 	for start := 0; start < len(m.resources); {
@@ -186,17 +184,17 @@
 	return content, nil
 }
 
-// decodeKind decodes the resources of one kind, which stand from start to end.
+// decodeKind decodes the resources of one kind, which are those from start to end.
 func (m *mergedResources) decodeKind(content *Content, base *Document, kind Kind, start, end int) error {
 	first, last := base.span(kind)
-	if m.isWhole(start, end, first, last) {
+	if m.isUnchanged(start, end, first, last) {
 		content.shareKind(&base.content, kind)
 		return nil
 	}
 	content.reserve(kind, end-start)
 	for at := start; at < end; at++ {
-		if held := m.heldAt[at]; held != notHeld {
-			content.appendHeld(&base.content, kind, held-first)
+		if held := m.baseIndex[at]; held != notInBase {
+			content.appendFromBase(&base.content, kind, held-first)
 			continue
 		}
 		if err := appendDecoded(content, m.resources[at]); err != nil {
@@ -206,21 +204,21 @@
 	return nil
 }
 
-// isWhole reports whether the resources from start to end are those that base has
-// from first to last.
-func (m *mergedResources) isWhole(start, end, first, last int) bool {
+// isUnchanged reports whether the resources from start to end are base's resources from first to
+// last.
+func (m *mergedResources) isUnchanged(start, end, first, last int) bool {
 	if end-start != last-first {
 		return false
 	}
 	for at := start; at < end; at++ {
-		if m.heldAt[at] != first+at-start {
+		if m.baseIndex[at] != first+at-start {
 			return false
 		}
 	}
 	return true
 }
 
-// span returns where the resources of a kind stand.
+// span returns the range of the resources of a kind.
 func (d *Document) span(kind Kind) (start, end int) {
 	start, _ = slices.BinarySearchFunc(d.resources, kind, compareToKind)
 	end, _ = slices.BinarySearchFunc(d.resources, kind+1, compareToKind)
@@ -229,7 +227,7 @@
 
 func compareToKind(resource Resource, kind Kind) int { return cmp.Compare(resource.Key.Kind, kind) }
 
-// shareKind takes the whole list of a kind over.
+// shareKind copies the slice of a kind without copying its values.
 func (c *Content) shareKind(from *Content, kind Kind) {
 	switch kind {
 	case KindService:
@@ -249,7 +247,7 @@
 	}
 }
 
-// reserve makes room for the values of the kinds that are many.
+// reserve allocates room for the values of the kinds with many resources.
 func (c *Content) reserve(kind Kind, count int) {
 	switch kind {
 	case KindRoute:
@@ -259,8 +257,8 @@
 	}
 }
 
-// appendHeld takes the value of one resource over, by its place among its kind.
-func (c *Content) appendHeld(from *Content, kind Kind, at int) {
+// appendFromBase appends the value at an index of the slice of its kind.
+func (c *Content) appendFromBase(from *Content, kind Kind, at int) {
 	switch kind {
 	case KindService:
 		c.Services = append(c.Services, from.Services[at])
--- a/internal/snapshot/delta_benchmark_test.go
+++ b/internal/snapshot/delta_benchmark_test.go
@@ -9,7 +9,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// largeContent has so many routes and 100 instances.
+// largeContent returns a content with the given number of routes and 100 instances.
 func largeContent(routes int) snapshot.Content {
 	content := snapshot.Content{Revision: 1, Services: []snapshot.Service{{Name: "a"}, {Name: "b"}}}
 	for i := range routes {
@@ -28,8 +28,8 @@
 	return content
 }
 
-// BenchmarkApply measures taking over a change of one instance, of one route, and
-// a whole document, by number of routes.
+// BenchmarkApply measures applying a change of one instance, of one route, and a whole document, by
+// number of routes.
 func BenchmarkApply(b *testing.B) {
 	for _, routes := range []int{600, 2000} {
 		content := largeContent(routes)
--- a/internal/snapshot/delta_test.go
+++ b/internal/snapshot/delta_test.go
@@ -9,8 +9,8 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// someContent draws a subset of a content with several of each typed kind.
-func someContent(t *rapid.T, label string) snapshot.Content {
+// drawContent draws a content with several resources of each typed kind.
+func drawContent(t *rapid.T, label string) snapshot.Content {
 	full := largeContent(12)
 	content := snapshot.Content{Revision: snapshot.Revision(rapid.Uint64Range(1, 9).Draw(t, label)), Services: full.Services}
 	for _, route := range full.Routes {
@@ -36,11 +36,11 @@
 	return content
 }
 
-// TestDeltasLeadToTheirTarget: whatever changed, applying the delta gives the same
-// document as building it, and so do other instances for the same routes.
-func TestDeltasLeadToTheirTarget(t *testing.T) {
+// TestDeltasProduceTheirTarget: applying a delta gives the same document as building the target, and
+// so does WithFleet for other instances and evacuations with the same routes.
+func TestDeltasProduceTheirTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := someContent(t, "from"), someContent(t, "to")
+		from, to := drawContent(t, "from"), drawContent(t, "to")
 		base, target := build(t, from), build(t, to)
 		applied, err := snapshot.Diff(base, target).Apply(base)
 		if err != nil {
@@ -50,11 +50,11 @@
 		from.Revision, from.Instances, from.Evacuations = to.Revision, to.Instances, to.Evacuations
 		got, err := base.WithFleet(to.Revision, to.Instances, to.Evacuations)
 		if err != nil {
-			t.Fatalf("other instances: %v", err)
+			t.Fatalf("WithFleet: %v", err)
 		}
 		checkSame(t, got, build(t, from))
 		if !snapshot.SameRouting(base, got) {
-			t.Fatalf("other instances changed the routing")
+			t.Fatalf("other instances and evacuations changed the routing")
 		}
 	})
 }
@@ -67,8 +67,8 @@
 	return document
 }
 
-// plain has no difference between empty and missing lists.
-func plain(document *snapshot.Document) snapshot.Content {
+// normalized removes the difference between empty and nil lists.
+func normalized(document *snapshot.Document) snapshot.Content {
 	content := document.Content()
 	if len(content.Routes) == 0 {
 		content.Routes = nil
@@ -84,7 +84,7 @@
 	if got.Version() != want.Version() || !reflect.DeepEqual(got.Resources(), want.Resources()) {
 		t.Fatalf("got %v with %v, want %v with %v", got, got.Resources(), want, want.Resources())
 	}
-	if !reflect.DeepEqual(plain(got), plain(want)) {
-		t.Fatalf("got %+v, want %+v", plain(got), plain(want))
+	if !reflect.DeepEqual(normalized(got), normalized(want)) {
+		t.Fatalf("got %+v, want %+v", normalized(got), normalized(want))
 	}
 }
--- a/internal/snapshot/document.go
+++ b/internal/snapshot/document.go
@@ -8,33 +8,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// Service is a named set of back-end instances that routes may point at.
+// Service is a named set of back-end instances that routes can target.
 type Service struct {
 	// Name is unique within a document.
 	Name string `json:"name"`
-	// Slots bounds the requests one instance runs at once. Zero leaves the
-	// bound to the settings of the node beside the instance.
+	// Slots is the maximum number of concurrent requests of one instance. Zero leaves it to the
+	// settings of the node beside the instance.
 	Slots int `json:"slots,omitempty"`
-	// Connections bounds the connections one instance has open at once. Zero
-	// leaves the bound to the settings of the node beside the instance.
+	// Connections is the maximum number of open connections of one instance. Zero leaves it to
+	// the settings of the node beside the instance.
 	Connections int `json:"connections,omitempty"`
-	// ColdRate limits the requests a second to an instance while it is cold after its
-	// start. Zero means no limit.
+	// ColdRate is the maximum number of requests per second to an instance while it is cold
+	// after its start. Zero means no limit.
 	ColdRate float64 `json:"cold_rate,omitempty"`
 	// ColdMillis is how long an instance stays cold after its start.
 	ColdMillis int64 `json:"cold_ms,omitempty"`
 }
 
-// Policy is one program, as an operator submitted it to the platform.
+// Policy is a program that an operator submitted to the platform.
 type Policy struct {
 	// Name is unique within a document and is the file name in error messages.
 	Name string `json:"name"`
-	// Program is the Starlark text.
+	// Program is the Starlark source.
 	Program string `json:"program"`
 }
 
-// Secret is a named value that routes attach to requests. Its value must not
-// reach a log, an error, a metric or the operators' HTTP.
+// Secret is a named value that routes attach to requests. Its value must not appear in a log, an
+// error, a metric or a response of the admin API.
 type Secret struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
@@ -46,7 +46,7 @@
 // GoString hides the value from the %#v verb.
 func (s Secret) GoString() string { return s.String() }
 
-// Content is what one revision holds, before it is checked.
+// Content is the content of one revision, before it is checked.
 type Content struct {
 	Revision Revision `json:"revision"`
 	// Origin tells where Services, Routes and Limits come from.
@@ -54,20 +54,20 @@
 	Services []Service `json:"services"`
 	Policies []Policy  `json:"policies"`
 	Secrets  []Secret  `json:"secrets"`
-	// Routes are declared as data; they stand beside those that policies declare.
+	// Routes are declared as data, in addition to those that policies declare.
 	Routes []TypedRoute `json:"routes,omitempty"`
-	// Instances are the processes that run requests, as their source lists them.
+	// Instances are the processes that run requests, as listed by the source.
 	Instances []Instance `json:"instances,omitempty"`
 	// Limits bound the connections of callers; nil leaves them to the settings.
 	Limits *CallerLimits `json:"limits,omitempty"`
-	// Evacuations name the zones whose instances get no requests.
+	// Evacuations name the zones whose instances receive no requests.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
 }
 
-// Kind tells the type of a Resource.
+// Kind is the type of a Resource.
 type Kind uint8
 
-// The kinds of resource a document holds.
+// The kinds of resources in a document.
 const (
 	KindService Kind = 1
 	KindPolicy  Kind = 2
@@ -76,27 +76,27 @@
 	KindRoute Kind = 4
 	// KindInstance is an Instance.
 	KindInstance Kind = 5
-	// KindLimits is the one CallerLimits of a document.
+	// KindLimits is the single CallerLimits of a document.
 	KindLimits Kind = 6
 	// KindEvacuation is an Evacuation.
 	KindEvacuation Kind = 7
 )
 
-// Key names one resource of a document.
+// Key identifies a resource of a document.
 type Key struct {
 	Kind Kind
 	Name string
 }
 
-// Resource is one service, policy or secret in its encoded form. Body is the
-// canonical JSON encoding and must not be changed once it is in a Document.
+// Resource is one resource of a document in encoded form. Body is the canonical JSON encoding and
+// must not be changed once it is in a Document.
 type Resource struct {
 	Key  Key
 	Body []byte
 }
 
-// Document is one published revision: an immutable, sorted set of resources
-// and the version that names it. Build it with NewDocument or Delta.Apply.
+// Document is one published revision: an immutable, sorted set of resources and the version that
+// identifies it. Build it with NewDocument or Delta.Apply.
 type Document struct {
 	version   Version
 	content   Content
@@ -104,29 +104,27 @@
 	digests   []resourceDigest
 }
 
-// Version returns the version that names the document.
+// Version returns the version that identifies the document.
 func (d *Document) Version() Version { return d.version }
 
-// Content returns the decoded resources, sorted by name. The caller must not
-// change what the slices hold.
+// Content returns the decoded resources, sorted by name. The caller must not modify the slices.
 func (d *Document) Content() Content { return d.content }
 
-// Resources returns the encoded resources sorted by kind, then name. The caller
-// must not change them.
+// Resources returns the encoded resources sorted by kind, then name. The caller must not modify
+// them.
 func (d *Document) Resources() []Resource { return d.resources }
 
-// Delta is the difference between two documents. With a zero Base it carries a
-// whole document.
+// Delta is the difference between two documents. With a zero Base it carries a whole document.
 type Delta struct {
 	Base    Version
 	Target  Version
-	Origin  Origin // of the target
+	Origin  Origin // that of the target
 	Changed []Resource
 	Removed []Key
 }
 
-// NewDocument checks the content and computes the version that names it. The
-// order of the services, policies and secrets does not matter.
+// NewDocument checks the content and computes the version that identifies it. The order of the
+// resources within each kind does not matter.
 func NewDocument(content Content) (*Document, error) {
 	resources, err := encodeContent(content)
 	if err != nil {
@@ -145,8 +143,8 @@
 	}, nil
 }
 
-// WithFleet returns the document of another revision that has other instances and
-// evacuations and is alike in everything else, of which nothing is encoded again.
+// WithFleet returns the document of another revision with other instances and evacuations. The
+// other resources are reused without encoding them again.
 func (d *Document) WithFleet(revision Revision, instances []Instance, evacuations []Evacuation) (*Document, error) {
 	instancesStart, instancesEnd := d.span(KindInstance)
 	evacuationsStart, evacuationsEnd := d.span(KindEvacuation)
@@ -182,21 +180,21 @@
 	count := len(content.Services) + len(content.Policies) + len(content.Secrets) + len(content.Routes) + len(content.Instances) + len(content.Evacuations) + 1
 	resources := make([]Resource, 0, count)
 	for _, service := range content.Services {
-		resource, err := checkedResource(KindService, service.Name, service, checkService)
+		resource, err := encodeChecked(KindService, service.Name, service, checkService)
 		if err != nil {
 			return nil, err
 		}
 		resources = append(resources, resource)
 	}
 	for _, policy := range content.Policies {
-		resource, err := checkedResource(KindPolicy, policy.Name, policy, checkPolicy)
+		resource, err := encodeChecked(KindPolicy, policy.Name, policy, checkPolicy)
 		if err != nil {
 			return nil, err
 		}
 		resources = append(resources, resource)
 	}
 	for _, secret := range content.Secrets {
-		resource, err := checkedResource(KindSecret, secret.Name, secret, checkSecret)
+		resource, err := encodeChecked(KindSecret, secret.Name, secret, checkSecret)
 		if err != nil {
 			return nil, err
 		}
@@ -205,31 +203,31 @@
 	return encodeTyped(content, resources)
 }
 
-// encodeTyped appends the resources that are declared as data.
+// encodeTyped appends the routes, instances, limits and evacuations of the content.
 func encodeTyped(content Content, resources []Resource) ([]Resource, error) {
 	for _, route := range content.Routes {
-		resource, err := checkedResource(KindRoute, route.Name, route, checkTypedRoute)
+		resource, err := encodeChecked(KindRoute, route.Name, route, checkTypedRoute)
 		if err != nil {
 			return nil, err
 		}
 		resources = append(resources, resource)
 	}
 	for _, instance := range content.Instances {
-		resource, err := checkedResource(KindInstance, instance.Name, instance, checkInstance)
+		resource, err := encodeChecked(KindInstance, instance.Name, instance, checkInstance)
 		if err != nil {
 			return nil, err
 		}
 		resources = append(resources, resource)
 	}
 	if content.Limits != nil {
-		resource, err := checkedResource(KindLimits, limitsName, *content.Limits, checkCallerLimits)
+		resource, err := encodeChecked(KindLimits, limitsName, *content.Limits, checkCallerLimits)
 		if err != nil {
 			return nil, err
 		}
 		resources = append(resources, resource)
 	}
 	for _, evacuation := range content.Evacuations {
-		resource, err := checkedResource(KindEvacuation, evacuation.Zone, evacuation, checkEvacuation)
+		resource, err := encodeChecked(KindEvacuation, evacuation.Zone, evacuation, checkEvacuation)
 		if err != nil {
 			return nil, err
 		}
@@ -238,7 +236,7 @@
 	return resources, nil
 }
 
-// sortedContent copies the content, each list sorted by name.
+// sortedContent returns a copy of the content with each list sorted by name.
 func sortedContent(content Content) Content {
 	return Content{
 		Revision: content.Revision,
@@ -255,8 +253,8 @@
 	}
 }
 
-// checkResources checks what concerns the whole: the revision, duplicates,
-// counts and the size. The resources are sorted.
+// checkResources checks the document as a whole: the revision, duplicates, the number of resources
+// and the total size. The resources must be sorted.
 func checkResources(revision Revision, resources []Resource) error {
 	if revision == 0 {
 		return eris.New("the revision is 0; revisions start at 1")
@@ -265,26 +263,25 @@
 	total := 0
 	for i, resource := range resources {
 		if i > 0 && resources[i-1].Key == resource.Key {
-			return eris.Errorf("%s is there twice", resource.Key)
+			return eris.Errorf("%s appears twice", resource.Key)
 		}
 		counts[resource.Key.Kind]++
-		if most := maxResources(resource.Key.Kind); counts[resource.Key.Kind] > most {
-			return eris.Errorf("more than %d resources of the kind %s", most, resource.Key.Kind)
+		if maximum := maxResources(resource.Key.Kind); counts[resource.Key.Kind] > maximum {
+			return eris.Errorf("more than %d resources of the kind %s", maximum, resource.Key.Kind)
 		}
 		total += len(resource.Key.Name) + len(resource.Body)
 	}
 	if total > MaxDocumentBytes {
-		return eris.Errorf("the document has %d bytes, at most %d are allowed", total, MaxDocumentBytes)
+		return eris.Errorf("the document has %d bytes, at maximum %d are allowed", total, MaxDocumentBytes)
 	}
 	return nil
 }
 
-// resourceDigest is the hash of one resource. Documents that follow each other
-// share most of them.
+// resourceDigest is the hash of one resource. Successive documents share maximum of them.
 type resourceDigest [sha256.Size]byte
 
-// digestOf covers kind, name and body, each with its length, so that no two
-// resources share an input.
+// digestOf hashes kind, name and body. The lengths of name and body are included, so that no two
+// resources have the same input.
 func digestOf(resource Resource) resourceDigest {
 	input := make([]byte, 0, len(resource.Key.Name)+len(resource.Body)+3*binary.MaxVarintLen64)
 	input = append(input, byte(resource.Key.Kind))
@@ -303,8 +300,7 @@
 	return digests
 }
 
-// hashDigests returns the hash of the document whose sorted resources have the
-// digests.
+// hashDigests returns the hash of a document from the digests of its sorted resources.
 func hashDigests(digests []resourceDigest) ContentHash {
 	digest := sha256.New()
 	for i := range digests {
@@ -315,7 +311,7 @@
 	return hash
 }
 
-// String names the version only, as the content holds secrets.
+// String returns only the version, as the content contains secrets.
 func (d *Document) String() string { return "document " + d.version.String() }
 
 // GoString hides the content from the %#v verb.
--- a/internal/snapshot/document_test.go
+++ b/internal/snapshot/document_test.go
@@ -26,7 +26,7 @@
 	c.Assert(one.Content().Services[0].Name, qt.Equals, "a")
 }
 
-func TestNewDocumentFaults(t *testing.T) {
+func TestNewDocumentErrors(t *testing.T) {
 	many := make([]snapshot.Service, snapshot.MaxResourcesPerKind+1)
 	for i := range many {
 		many[i].Name = fmt.Sprint("s", i)
@@ -39,14 +39,14 @@
 		{"no revision", snapshot.Content{}, "the revision is 0.*"},
 		{"no name", snapshot.Content{Revision: 1, Services: make([]snapshot.Service, 1)}, "a service has no name"},
 		{"long name", snapshot.Content{Revision: 1, Policies: []snapshot.Policy{{Name: strings.Repeat("x", 64)}}}, "policy .* has 64 bytes, at most 63.*"},
-		{"bad name", snapshot.Content{Revision: 1, Policies: []snapshot.Policy{{Name: "-x"}}}, `policy "-x": a name has letters.*`},
-		{"twice", snapshot.Content{Revision: 1, Services: []snapshot.Service{{Name: "a"}, {Name: "a", Slots: 1}}}, "service a is there twice"},
+		{"bad name", snapshot.Content{Revision: 1, Policies: []snapshot.Policy{{Name: "-x"}}}, `policy "-x": a name consists of letters.*`},
+		{"twice", snapshot.Content{Revision: 1, Services: []snapshot.Service{{Name: "a"}, {Name: "a", Slots: 1}}}, "service a appears twice"},
 		{"too many", snapshot.Content{Revision: 1, Services: many}, "more than 1000 resources of the kind service"},
 		{"slots", snapshot.Content{Revision: 1, Services: []snapshot.Service{{Name: "a", Slots: -1}}}, `service "a": slots is -1.*`},
 		{"long program", snapshot.Content{Revision: 1, Policies: []snapshot.Policy{{Name: "a", Program: strings.Repeat(" ", 64<<10+1)}}}, `policy "a": the program has 65537 bytes.*`},
 		{"not UTF-8", snapshot.Content{Revision: 1, Policies: []snapshot.Policy{{Name: "a", Program: "\xff"}}}, `policy "a": the program is not valid UTF-8`},
 		{"empty secret", snapshot.Content{Revision: 1, Secrets: []snapshot.Secret{{Name: "a"}}}, `secret "a": the value is empty`},
-		{"secret with line", snapshot.Content{Revision: 1, Secrets: []snapshot.Secret{{Name: "a", Value: "hunter\r\n2"}}}, `secret "a": the value holds a control character.*`},
+		{"secret with line", snapshot.Content{Revision: 1, Secrets: []snapshot.Secret{{Name: "a", Value: "hunter\r\n2"}}}, `secret "a": the value contains a control character.*`},
 		{"secret with space", snapshot.Content{Revision: 1, Secrets: []snapshot.Secret{{Name: "a", Value: "hunter2 "}}}, `secret "a": the value begins or ends with white space`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 	for _, test := range []struct {
 		name    string
 		base    *snapshot.Document
-		spoil   func(delta *snapshot.Delta)
+		corrupt func(delta *snapshot.Delta)
 		problem string
 		is      error
 	}{
@@ -80,7 +80,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			delta := snapshot.Diff(base, target)
-			test.spoil(&delta)
+			test.corrupt(&delta)
 			document, err := delta.Apply(test.base)
 			c.Assert(document, qt.IsNil)
 			c.Assert(err, qt.ErrorMatches, test.problem)
@@ -91,13 +91,13 @@
 	}
 }
 
-// TestApplyRefusesOtherEncodings takes bodies whose hash is right, as a hostile
-// peer could compute it, but which are not what NewDocument would make.
+// TestApplyRefusesOtherEncodings applies bodies that NewDocument would not produce, with a correct
+// hash, as a hostile peer could send them.
 func TestApplyRefusesOtherEncodings(t *testing.T) {
 	for _, test := range []struct{ name, body, problem string }{
 		{"spaces", `{"name": "a"}`, "service a: the body is not in canonical form"},
 		{"unknown field", `{"name":"a","colour":1}`, "service a: the body cannot be decoded"},
-		{"other name", `{"name":"b"}`, "service a: the body has another name than the key"},
+		{"other name", `{"name":"b"}`, "service a: the name in the body differs from the key"},
 		{"bad value", `{"name":"a","slots":-1}`, `service "a": slots is -1.*`},
 		{"trailing", `{"name":"a"}{}`, "service a: the body is not in canonical form"},
 	} {
--- a/internal/snapshot/evacuation_test.go
+++ b/internal/snapshot/evacuation_test.go
@@ -8,8 +8,8 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// TestEvacuatedInstancesTakeNoWork: ready instances of an evacuated zone are marked,
-// others are as listed, and the document itself keeps what was listed.
+// TestEvacuatedInstancesTakeNoWork: a snapshot marks the ready instances of an evacuated zone as
+// evacuated and keeps the state of the others. The document keeps the listed states.
 func TestEvacuatedInstancesTakeNoWork(t *testing.T) {
 	c := qt.New(t)
 	document, err := snapshot.NewDocument(snapshot.Content{
@@ -41,7 +41,7 @@
 	c.Check(current.WithFleet(takenBack.Version(), takenBack.Content()).Instances("a")[0].State, qt.Equals, snapshot.InstanceReady)
 }
 
-// TestEvacuationIsChecked: a name that is no zone's keeps a document out as a whole.
+// TestEvacuationIsChecked: an evacuation with an invalid zone name makes the document invalid.
 func TestEvacuationIsChecked(t *testing.T) {
 	for _, zone := range []string{"", "a/b", "-z"} {
 		_, err := snapshot.NewDocument(snapshot.Content{Revision: 1, Evacuations: []snapshot.Evacuation{{Zone: zone}}})
--- a/internal/snapshot/export_test.go
+++ b/internal/snapshot/export_test.go
@@ -1,4 +1,4 @@
 package snapshot
 
-// HashResources lets tests compute the hash that a hostile peer would.
+// HashResources computes the hash of resources, as a hostile peer could.
 func HashResources(resources []Resource) ContentHash { return hashDigests(digestsOf(resources)) }
--- a/internal/snapshot/fleet.go
+++ b/internal/snapshot/fleet.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// fleet is the part of a snapshot about instances. Snapshots share it while the
-// instances stay the same.
+// fleet is the part of a snapshot that concerns instances. Snapshots share it while it does not
+// change.
 type fleet struct {
 	byService map[string][]Instance
-	byAddress map[string]Instance // the last one there
+	byAddress map[string]Instance // the latest instance at the address
 	byName    map[string]Instance
 	limits    *CallerLimits
 	evacuated map[string]bool // by zone
-	// returns counts, by zone, the evacuations that were taken back while this process
-	// held a configuration.
-	returns map[string]int
-	// gone are the instances that a change ahead of the document ended, by name, with the
-	// revision of that.
-	gone map[string]Revision
+	// endedEvacuations counts, by zone, the evacuations that ended while this process held a
+	// configuration.
+	endedEvacuations map[string]int
+	// removed holds the revisions at which changes ahead of the document removed instances, by
+	// name.
+	removed map[string]Revision
 }
 
 func newFleet(content Content) fleet {
@@ -33,9 +33,9 @@
 	for _, evacuation := range content.Evacuations {
 		built.evacuated[evacuation.Zone] = true
 	}
-	instances := built.withEvacuated(content.Instances)
+	instances := built.markEvacuated(content.Instances)
 	for _, instance := range instances {
-		if holder, taken := built.byAddress[instance.Address]; !taken || instance.follows(holder) {
+		if owner, taken := built.byAddress[instance.Address]; !taken || instance.startedAfter(owner) {
 			built.byAddress[instance.Address] = instance
 		}
 	}
@@ -48,8 +48,8 @@
 	return built
 }
 
-// withEvacuated returns the instances, ready ones in evacuated zones as such.
-func (f *fleet) withEvacuated(instances []Instance) []Instance {
+// markEvacuated returns the instances with ready ones in evacuated zones marked as evacuated.
+func (f *fleet) markEvacuated(instances []Instance) []Instance {
 	if len(f.evacuated) == 0 {
 		return instances
 	}
@@ -62,9 +62,8 @@
 	return marked
 }
 
-// WithFleet returns a snapshot with the same routes, services and secrets for a
-// newer version that differs only in instances, evacuations and limits, which it
-// takes from the content.
+// WithFleet returns a snapshot with the same routes, services and secrets for a newer version that
+// differs only in instances, evacuations and limits, which are taken from the content.
 func (s *Snapshot) WithFleet(version Version, content Content) *Snapshot {
 	next := *s
 	next.version = version
@@ -72,95 +71,93 @@
 	return &next
 }
 
-// WithChanges returns a snapshot with the same routes, services and secrets for a document,
-// whose instances and evacuations are those of the document, of changes that came after it and
-// of what is retained against both.
+// WithChanges returns a snapshot with the same routes, services and secrets for a document. Its
+// instances and evacuations are those of the document, with later changes and retained statements
+// applied.
 func (s *Snapshot) WithChanges(document *Document, changes *Changes, retained *Retained) *Snapshot {
 	next := s.WithFleet(document.version, retained.Apply(changes.Apply(document.content)))
-	next.fleet.gone = changes.goneAfter(document.version.Revision)
+	next.fleet.removed = changes.removedAfter(document.version.Revision)
 	return next
 }
 
-// KnowsUpTo returns the revision up to which the snapshot knows of an instance that it does
-// not list.
+// KnowsUpTo returns the revision up to which the snapshot reflects the state of an instance that it
+// does not list.
 func (s *Snapshot) KnowsUpTo(name string) Revision {
-	return max(s.version.Revision, s.fleet.gone[name])
+	return max(s.version.Revision, s.fleet.removed[name])
 }
 
-// Following returns the snapshot as the one that comes into force after a former one,
-// which may be nil: it counts the evacuations that were taken back since.
-func (s *Snapshot) Following(former *Snapshot) *Snapshot {
-	if former == nil {
+// Following returns the snapshot as the successor of a previous one, which may be nil, and counts
+// the evacuations that have ended since.
+func (s *Snapshot) Following(previous *Snapshot) *Snapshot {
+	if previous == nil {
 		return s
 	}
 	next := *s
-	next.fleet.returns = former.fleet.returns
-	for zone := range former.fleet.evacuated {
+	next.fleet.endedEvacuations = previous.fleet.endedEvacuations
+	for zone := range previous.fleet.evacuated {
 		if !s.IsEvacuated(zone) {
-			next.fleet.returns = maps.Clone(next.fleet.returns)
-			if next.fleet.returns == nil {
-				next.fleet.returns = make(map[string]int)
+			next.fleet.endedEvacuations = maps.Clone(next.fleet.endedEvacuations)
+			if next.fleet.endedEvacuations == nil {
+				next.fleet.endedEvacuations = make(map[string]int)
 			}
-			next.fleet.returns[zone]++
+			next.fleet.endedEvacuations[zone]++
 		}
 	}
 	return &next
 }
 
-// ZoneReturns counts how often the evacuation of a zone was taken back while this
-// process held a configuration. Its instances may have turned cold each time.
-func (s *Snapshot) ZoneReturns(zone string) int { return s.fleet.returns[zone] }
+// ZoneReturns returns how many evacuations of a zone have ended while this process held a
+// configuration. The zone's instances may have become cold each time.
+func (s *Snapshot) ZoneReturns(zone string) int { return s.fleet.endedEvacuations[zone] }
 
-// IsEvacuated reports whether the instances of a zone must get no requests.
+// IsEvacuated reports whether the instances of a zone must not receive requests.
 func (s *Snapshot) IsEvacuated(zone string) bool { return s.fleet.evacuated[zone] }
 
-// EvacuatedZones returns the zones that are evacuated, sorted.
+// EvacuatedZones returns the evacuated zones, sorted.
 func (s *Snapshot) EvacuatedZones() []string {
 	return slices.Sorted(maps.Keys(s.fleet.evacuated))
 }
 
-// Instances returns the instances of a service, draining ones included, sorted by
-// name. An instance whose address a later one has is gone, though it is listed. The
-// caller must not change the slice.
+// Instances returns the instances of a service sorted by name, including draining ones. It leaves
+// out listed instances whose address was taken over by a later instance. The caller must not modify
+// the slice.
 func (s *Snapshot) Instances(service string) []Instance { return s.fleet.byService[service] }
 
-// HoldsAddress reports whether the instance of that name is listed and the last one
-// that was created at its address.
+// HoldsAddress reports whether the named instance is listed and is the latest one at its address.
 func (s *Snapshot) HoldsAddress(name string) bool {
 	instance, listed := s.fleet.byName[name]
 	return listed && s.fleet.byAddress[instance.Address].Name == name
 }
 
-// InstanceAt returns the instance that was created last at an address.
+// InstanceAt returns the latest instance at an address.
 func (s *Snapshot) InstanceAt(address string) (Instance, bool) {
 	instance, listed := s.fleet.byAddress[address]
 	return instance, listed
 }
 
-// Instance returns the instance of that name, if it is listed.
+// Instance returns the instance of a name, if it is listed.
 func (s *Snapshot) Instance(name string) (Instance, bool) {
 	instance, listed := s.fleet.byName[name]
 	return instance, listed
 }
 
-// AllInstances yields the instances that are listed, in no order.
+// AllInstances yields the listed instances in no particular order.
 func (s *Snapshot) AllInstances() iter.Seq[Instance] { return maps.Values(s.fleet.byName) }
 
-// InstanceCount returns how many instances are listed.
+// InstanceCount returns the number of listed instances.
 func (s *Snapshot) InstanceCount() int { return len(s.fleet.byName) }
 
-// Limits returns the limits for callers, or nil when the document has none.
+// Limits returns the limits for callers, or nil if the document has none.
 func (s *Snapshot) Limits() *CallerLimits { return s.fleet.limits }
 
-// SameRouting reports whether both documents have the same services, policies,
-// secrets and typed routes, so that a snapshot of one serves for the other with
-// the other's instances.
+// SameRouting reports whether both documents have the same services, policies, secrets and typed
+// routes, so that a snapshot of one can be used for the other with the other's instances.
 func SameRouting(a, b *Document) bool {
 	return slices.Equal(a.routingDigests(), b.routingDigests())
 }
 
-// routingDigests are those of the resources that routes depend on, which stand
-// before instances and limits.
+// routingDigests returns the digests of the resources that determine routing, which are sorted before
+// instances and limits.
 func (d *Document) routingDigests() []resourceDigest {
 	end, _ := d.span(KindInstance)
 	return d.digests[:end]
--- a/internal/snapshot/fleet_test.go
+++ b/internal/snapshot/fleet_test.go
@@ -8,9 +8,9 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// TestLaterInstanceHasTheAddress: after a loss of power the list names the ended
-// instance for a while beside the one that took its address, perhaps for another
-// service. Found by an incident (inc-e71d): requests went to the ended one.
+// TestLaterInstanceHasTheAddress: after a power failure the source may list a terminated instance
+// beside the one that took over its address, possibly for another service. Requests must not be sent
+// to the terminated instance.
 func TestLaterInstanceHasTheAddress(t *testing.T) {
 	c := qt.New(t)
 	instances := []snapshot.Instance{
--- a/internal/snapshot/host.go
+++ b/internal/snapshot/host.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// maxHostBytes is the longest host name of the DNS.
+// maxHostBytes is the maximum length of a DNS host name.
 const maxHostBytes = 253
 
-// hostName strips the port and the root's dot from the host of a request.
+// hostName strips the port and the trailing dot from the host of a request.
 func hostName(host string) string {
 	if strings.HasPrefix(host, "[") {
 		if end := strings.IndexByte(host, ']'); end > 0 {
@@ -35,8 +35,8 @@
 	return b
 }
 
-// takesHost reports whether a match for wanted accepts the host of a request.
-func takesHost(wanted, host string) bool {
+// matchesHost reports whether the host of a request matches the wanted host name.
+func matchesHost(wanted, host string) bool {
 	if wanted == "" {
 		return true
 	}
@@ -52,8 +52,8 @@
 	return true
 }
 
-// takesPath reports whether the prefix covers whole segments of the path.
-func takesPath(prefix, path string) bool {
+// matchesPath reports whether the prefix covers whole segments of the path.
+func matchesPath(prefix, path string) bool {
 	wanted := strings.Trim(prefix, "/")
 	if wanted == "" {
 		return true
--- a/internal/snapshot/limits.go
+++ b/internal/snapshot/limits.go
@@ -7,26 +7,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// The limits of a document. They bound what a node holds and what a delta may
-// make it allocate.
+// Limits of a document. They bound the memory that a node uses and that a delta can make it
+// allocate.
 const (
-	// MaxNameBytes bounds the name of a service, policy or secret.
+	// MaxNameBytes is the maximum length of the name of a resource.
 	MaxNameBytes = 63
-	// MaxProgramBytes bounds the text of one policy.
+	// MaxProgramBytes is the maximum size of the program of one policy.
 	MaxProgramBytes = 64 << 10
-	// MaxSecretBytes bounds the value of one secret.
+	// MaxSecretBytes is the maximum size of the value of one secret.
 	MaxSecretBytes = 4 << 10
-	// MaxResourcesPerKind bounds the services, the policies and the secrets.
+	// MaxResourcesPerKind is the maximum number of resources of each kind but routes and instances.
 	MaxResourcesPerKind = 1000
-	// MaxTypedResources bounds the typed routes, and the instances.
+	// MaxTypedResources is the maximum number of typed routes, and of instances.
 	MaxTypedResources = 20_000
-	// MaxDocumentBytes bounds the encoded resources of a document in all.
+	// MaxDocumentBytes is the maximum total size of the encoded resources of a document.
 	MaxDocumentBytes = 8 << 20
-	// MaxServiceLimit bounds the slots and the connections of a service.
+	// MaxServiceLimit is the maximum of each numeric limit of a service, and of an instance's slots.
 	MaxServiceLimit = 1_000_000
 )
 
-// maxResources returns how many resources of a kind a document may hold.
+// maxResources returns the maximum number of resources of a kind in a document.
 func maxResources(kind Kind) int {
 	switch kind {
 	case KindRoute, KindInstance:
@@ -36,7 +36,7 @@
 	}
 }
 
-// checkName reports why name cannot name a resource of that kind, or nil.
+// checkName returns an error if name is not a valid name for a resource of the kind.
 func checkName(kind Kind, name string) error {
 	if name == "" {
 		return eris.Errorf("a %s has no name", kind)
@@ -48,7 +48,7 @@
 		if isNameByte(name[i], i == 0) {
 			continue
 		}
-		return eris.Errorf("%s %q: a name has letters, digits, '.', '_' and '-', and starts with a letter or digit", kind, name)
+		return eris.Errorf("%s %q: a name consists of letters, digits, '.', '_' and '-', and starts with a letter or digit", kind, name)
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// checkSecret never puts the value in its error.
+// checkSecret validates a secret. Its errors never contain the value.
 func checkSecret(secret Secret) error {
 	if err := checkName(KindSecret, secret.Name); err != nil {
 		return err
@@ -114,7 +114,7 @@
 		return eris.Errorf("secret %q: the value begins or ends with white space", secret.Name)
 	}
 	if strings.ContainsFunc(secret.Value, isControl) {
-		return eris.Errorf("secret %q: the value holds a control character and cannot be sent in a header", secret.Name)
+		return eris.Errorf("secret %q: the value contains a control character and cannot be sent in a header", secret.Name)
 	}
 	return nil
 }
--- a/internal/snapshot/names.go
+++ b/internal/snapshot/names.go
@@ -5,5 +5,5 @@
 	"slices"
 )
 
-// SecretNames returns the names of the secrets that the snapshot holds, sorted.
+// SecretNames returns the names of the snapshot's secrets, sorted.
 func (s *Snapshot) SecretNames() []string { return slices.Sorted(maps.Keys(s.secrets)) }
--- a/internal/snapshot/origin_test.go
+++ b/internal/snapshot/origin_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestRevisionOrder: revisions of a later epoch are higher, whatever their numbers.
+// TestRevisionOrder: a revision of a later epoch is higher, whatever its number.
 func TestRevisionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) (epoch, number uint64) {
@@ -21,13 +21,13 @@
 		if (a > b) != later || a.Epoch() != epochA || a.Number() != numberA {
 			t.Fatalf("%s and %s: %d and %d", a, b, a, b)
 		}
-		if marked := a.keeping(); epochA > 0 && (marked <= a || marked >= a.Next() || !marked.IsKeeping() || marked.OfSource() != a) {
+		if marked := a.withKeptConfiguration(); epochA > 0 && (marked <= a || marked >= a.Next() || !marked.IsKeeping() || marked.OfSource() != a) {
 			t.Fatalf("%s marked is %s", a, marked)
 		}
 		if again, err := ParseRevision(a.String()); err != nil || again != a {
 			t.Fatalf("%s reads as %s, %v", a, again, err)
 		}
-		// Lists of members are ordered by the revision times 1024, in a signed number.
+		// Lists of members are ordered by the revision times 1024, as a signed 64-bit number.
 		if uint64(a) > math.MaxInt64/1024 {
 			t.Fatalf("%d has no room", a)
 		}
@@ -35,19 +35,19 @@
 }
 
 func TestParseRevision(t *testing.T) {
-	for text, want := range map[string]Revision{"7": 7, "0:7": 7, "2:7": NewRevision(2, 7), "2:7+": NewRevision(2, 7).keeping()} {
+	for text, want := range map[string]Revision{"7": 7, "0:7": 7, "2:7": NewRevision(2, 7), "2:7+": NewRevision(2, 7).withKeptConfiguration()} {
 		revision, err := ParseRevision(text)
 		qt.Check(t, err, qt.IsNil)
 		qt.Check(t, revision, qt.Equals, want)
 	}
 	for _, text := range []string{"", "x", "-1", "1:", ":1", "1:2:3", "1:x", "16384:1", "274877906944", "7+", "2:7++"} {
 		_, err := ParseRevision(text)
-		qt.Check(t, err, qt.ErrorMatches, ".*is no revision.*", qt.Commentf("%q", text))
+		qt.Check(t, err, qt.ErrorMatches, ".*is not a revision.*", qt.Commentf("%q", text))
 	}
 }
 
 func originDocument(c *qt.C, revision Revision, origin Origin, routes ...string) *Document {
-	content := Content{Revision: revision, Origin: origin, Services: []Service{{Name: "a"}}, Instances: []Instance{instanceAt("i-1", InstanceReady)}}
+	content := Content{Revision: revision, Origin: origin, Services: []Service{{Name: "a"}}, Instances: []Instance{testInstance("i-1", InstanceReady)}}
 	for _, name := range routes {
 		content.Routes = append(content.Routes, TypedRoute{Name: name, Host: "h", PathPrefix: "/", Targets: []WeightedService{{Service: "a", Weight: 1}}})
 	}
@@ -56,20 +56,20 @@
 	return document
 }
 
-// TestKeepingNewerConfiguration: a configuration is kept against an older one of another epoch
-// alone. Within an epoch the source's order holds, and a number that is not known orders nothing.
+// TestKeepingNewerConfiguration: a configuration is kept only against an older one of another epoch.
+// Within an epoch the source's order is followed, and unknown numbers are not compared.
 func TestKeepingNewerConfiguration(t *testing.T) {
 	for name, row := range map[string]struct {
 		held, read Origin
 		kept       bool
 	}{
-		"older, of a copy":             {Origin{Number: 9, Epoch: 1}, Origin{Number: 7, Epoch: 2}, true},
-		"the same, written again":      {Origin{Number: 9, Epoch: 1}, Origin{Number: 9, Epoch: 2}, false},
-		"newer":                        {Origin{Number: 9, Epoch: 1}, Origin{Number: 10, Epoch: 2}, false},
-		"older, of the same epoch":     {Origin{Number: 9, Epoch: 1}, Origin{Number: 7, Epoch: 1}, false},
-		"older, two epochs later":      {Origin{Number: 9, Epoch: 1}, Origin{Number: 8, Epoch: 3}, true},
-		"a source without numbers":     {Origin{Epoch: 1}, Origin{Epoch: 2}, false},
-		"a build that knows no origin": {Origin{Number: 9, Epoch: 1}, Origin{}, false},
+		"older, from a backup":     {Origin{Number: 9, Epoch: 1}, Origin{Number: 7, Epoch: 2}, true},
+		"the same, written again":  {Origin{Number: 9, Epoch: 1}, Origin{Number: 9, Epoch: 2}, false},
+		"newer":                    {Origin{Number: 9, Epoch: 1}, Origin{Number: 10, Epoch: 2}, false},
+		"older, of the same epoch": {Origin{Number: 9, Epoch: 1}, Origin{Number: 7, Epoch: 1}, false},
+		"older, two epochs later":  {Origin{Number: 9, Epoch: 1}, Origin{Number: 8, Epoch: 3}, true},
+		"a source without numbers": {Origin{Epoch: 1}, Origin{Epoch: 2}, false},
+		"a node without origins":   {Origin{Number: 9, Epoch: 1}, Origin{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/snapshot/resource.go
+++ b/internal/snapshot/resource.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// String returns the kind in lower case.
+// String returns the name of the kind in lower case.
 func (k Kind) String() string {
 	switch k {
 	case KindService:
@@ -35,7 +35,7 @@
 // String returns the kind and the name.
 func (k Key) String() string { return k.Kind.String() + " " + k.Name }
 
-// String names the resource without its body, which may hold a secret.
+// String returns only the key, as the body may contain a secret.
 func (r Resource) String() string { return r.Key.String() }
 
 // GoString hides the body from the %#v verb.
@@ -47,7 +47,7 @@
 
 func compareResources(a, b Resource) int { return compareKeys(a.Key, b.Key) }
 
-// encode returns the canonical form of a checked resource.
+// encode returns the canonical encoding of a resource that was checked before.
 func encode(kind Kind, name string, value any) (Resource, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -56,22 +56,22 @@
 	return Resource{Key: Key{Kind: kind, Name: name}, Body: body}, nil
 }
 
-// decode reads a body and refuses one that is not in canonical form, so that a
-// content has one encoding and one hash. Errors never show the body.
+// decode decodes a body and rejects one that is not in canonical form, so that a content has only
+// one encoding and one hash. Its errors never contain the body.
 func decode[T any](resource Resource) (T, error) {
 	var value T
 	if err := json.Unmarshal(resource.Body, &value); err != nil {
-		return value, whyNotCanonical[T](resource)
+		return value, canonicalError[T](resource)
 	}
 	if canonical, err := json.Marshal(value); err != nil || !bytes.Equal(canonical, resource.Body) {
-		return value, whyNotCanonical[T](resource)
+		return value, canonicalError[T](resource)
 	}
 	return value, nil
 }
 
-// whyNotCanonical tells a body that does not fit its type from another encoding of
-// one that does.
-func whyNotCanonical[T any](resource Resource) error {
+// canonicalError returns an error that distinguishes a body that does not fit its type from a
+// non-canonical encoding.
+func canonicalError[T any](resource Resource) error {
 	var value T
 	decoder := json.NewDecoder(bytes.NewReader(resource.Body))
 	decoder.DisallowUnknownFields()
@@ -81,15 +81,15 @@
 	return eris.Errorf("%s: the body is not in canonical form", resource.Key)
 }
 
-// checkedResource encodes a value after its check passed.
-func checkedResource[T any](kind Kind, name string, value T, check func(T) error) (Resource, error) {
+// encodeChecked checks a value and encodes it.
+func encodeChecked[T any](kind Kind, name string, value T, check func(T) error) (Resource, error) {
 	if err := check(value); err != nil {
 		return Resource{}, err
 	}
 	return encode(kind, name, value)
 }
 
-// appendDecoded checks a received resource and appends its value to the content.
+// appendDecoded decodes and checks a received resource and appends its value to the content.
 func appendDecoded(content *Content, resource Resource) error {
 	switch resource.Key.Kind {
 	case KindService:
@@ -107,7 +107,7 @@
 	case KindEvacuation:
 		return appendValue(&content.Evacuations, resource, evacuationName, checkEvacuation)
 	default:
-		return eris.Errorf("resource %.64q has the unknown kind %d", resource.Key.Name, resource.Key.Kind)
+		return eris.Errorf("resource %.64q has unknown kind %d", resource.Key.Name, resource.Key.Kind)
 	}
 }
 
@@ -117,7 +117,7 @@
 		return err
 	}
 	if name(value) != resource.Key.Name {
-		return eris.Errorf("%s: the body has another name than the key", resource.Key)
+		return eris.Errorf("%s: the name in the body differs from the key", resource.Key)
 	}
 	if err := check(value); err != nil {
 		return err
--- a/internal/snapshot/retained.go
+++ b/internal/snapshot/retained.go
@@ -5,63 +5,63 @@
 	"math"
 )
 
-// Retained is what was known of instances and evacuations when the source was restored from a
-// copy of itself. The copy may lack what was acknowledged last, or hold what had ended since. A
-// statement counts against the source until that says something as late about the same name, or
-// until whoever holds it drops it. The zero value retains nothing.
+// Retained holds what was known of instances and evacuations when the source was restored from a
+// backup of itself. The backup may lack the latest acknowledged writes, or contain what was removed
+// since. A retained statement takes precedence over the source until the source has an equally late
+// state for the same name, or until the owner drops it. The zero value is empty.
 type Retained struct {
-	// epoch is that of the source since it was restored.
+	// epoch is the epoch of the source after it was restored.
 	epoch     uint64
 	instances map[string]retainedInstance // by name
-	// zones tells whether a zone was evacuated.
-	zones map[string]bool
+	// evacuated says for each known zone whether it was evacuated.
+	evacuated map[string]bool
 }
 
-// retainedInstance is the last that was known of a name.
+// retainedInstance is the last known state of an instance.
 type retainedInstance struct {
 	instance Instance
-	// ended says that the instance was gone.
-	ended bool
+	// removed says that the instance was removed.
+	removed bool
 }
 
-// Retain returns what is known when a source enters an epoch: what was listed before, and what
-// ended shortly before.
+// Retain returns what is known when a source enters a new epoch: what was listed before, and what was
+// removed shortly before.
 func Retain(epoch uint64, listed Content, ended Ended) Retained {
-	kept := Retained{epoch: epoch, instances: make(map[string]retainedInstance), zones: make(map[string]bool)}
+	retained := Retained{epoch: epoch, instances: make(map[string]retainedInstance), evacuated: make(map[string]bool)}
 	for _, instance := range ended.Instances {
-		kept.instances[instance.Name] = retainedInstance{instance: instance, ended: true}
+		retained.instances[instance.Name] = retainedInstance{instance: instance, removed: true}
 	}
 	for _, zone := range ended.Zones {
-		kept.zones[zone] = false
+		retained.evacuated[zone] = false
 	}
 	for _, instance := range listed.Instances {
-		kept.instances[instance.Name] = retainedInstance{instance: instance}
+		retained.instances[instance.Name] = retainedInstance{instance: instance}
 	}
 	for _, evacuation := range listed.Evacuations {
-		kept.zones[evacuation.Zone] = true
+		retained.evacuated[evacuation.Zone] = true
 	}
-	return kept
+	return retained
 }
 
-// Ended are instances and evacuations that are no longer listed.
+// Ended lists instances and evacuations that were removed.
 type Ended struct {
 	Instances []Instance
 	Zones     []string
 }
 
-// Len returns how many statements are retained.
-func (r *Retained) Len() int { return len(r.instances) + len(r.zones) }
+// Len returns the number of retained statements.
+func (r *Retained) Len() int { return len(r.instances) + len(r.evacuated) }
 
-// Drop drops all statements and returns how many of them a content contradicts.
+// Drop drops all statements and returns how many of them the content contradicts.
 func (r *Retained) Drop(content Content) (contradicted int) {
 	listed := instancesByName(content.Instances)
-	for name, kept := range r.instances {
-		if instance, isListed := listed[name]; isListed && kept.outdates(instance) || !isListed && !kept.ended {
+	for name, retained := range r.instances {
+		if instance, isListed := listed[name]; isListed && retained.supersedes(instance) || !isListed && !retained.removed {
 			contradicted++
 		}
 	}
-	for zone, evacuated := range r.zones {
-		if content.evacuates(zone) != evacuated {
+	for zone, evacuated := range r.evacuated {
+		if content.isEvacuated(zone) != evacuated {
 			contradicted++
 		}
 	}
@@ -69,13 +69,13 @@
 	return contradicted
 }
 
-// DropMissing drops the statements about instances that a content does not list, and returns how
-// many these were.
+// DropMissing drops the statements about instances that the content does not list, and returns their
+// number.
 func (r *Retained) DropMissing(content Content) (dropped int) {
 	listed := instancesByName(content.Instances)
-	maps.DeleteFunc(r.instances, func(name string, kept retainedInstance) bool {
+	maps.DeleteFunc(r.instances, func(name string, retained retainedInstance) bool {
 		_, isListed := listed[name]
-		isMissing := !isListed && !kept.ended
+		isMissing := !isListed && !retained.removed
 		if isMissing {
 			dropped++
 		}
@@ -84,36 +84,36 @@
 	return dropped
 }
 
-// Add retains a change of a former epoch.
+// Add retains a change made in an earlier epoch.
 func (r *Retained) Add(change Change) {
 	if r.instances == nil {
-		r.instances, r.zones = make(map[string]retainedInstance), make(map[string]bool)
+		r.instances, r.evacuated = make(map[string]retainedInstance), make(map[string]bool)
 	}
 	name := change.Key.Name
 	switch {
 	case change.Key.Kind == KindEvacuation:
-		r.zones[name] = change.Evacuated
+		r.evacuated[name] = change.Evacuated
 	case change.Instance != nil:
 		r.instances[name] = retainedInstance{instance: *change.Instance}
 	default:
 		held, known := r.instances[name]
 		if !known {
-			held.instance = Instance{Name: name, Born: math.MaxInt64} // any life may be the one that ended
+			held.instance = Instance{Name: name, Born: math.MaxInt64} // removes every process of that name
 		}
-		r.instances[name] = retainedInstance{instance: held.instance, ended: true}
+		r.instances[name] = retainedInstance{instance: held.instance, removed: true}
 	}
 }
 
-// Settle drops the statements that the source has caught up with since it was restored, by a
-// document in force or by changes that came after it.
+// Settle drops the statements that the restored source has caught up with, in the document in force
+// or in later changes.
 func (r *Retained) Settle(document Content, changes *Changes) {
 	if r.Len() == 0 {
 		return
 	}
 	isRestored := document.Revision.Epoch() >= r.epoch
-	now := changes.Apply(document)
-	listed := instancesByName(now.Instances)
-	maps.DeleteFunc(r.instances, func(name string, kept retainedInstance) bool {
+	current := changes.Apply(document)
+	listed := instancesByName(current.Instances)
+	maps.DeleteFunc(r.instances, func(name string, retained retainedInstance) bool {
 		change, changed := changes.sinceEpoch(r.epoch, Key{Kind: KindInstance, Name: name})
 		if !changed && !isRestored {
 			return false
@@ -121,54 +121,54 @@
 		instance, isListed := listed[name]
 		switch {
 		case !isListed:
-			return !kept.ended && changed && change.Instance == nil
-		case kept.ended && changed && change.Instance != nil:
-			return true // an instance that ended does not write its entry again
+			return !retained.removed && changed && change.Instance == nil
+		case retained.removed && changed && change.Instance != nil:
+			return true // a terminated instance does not write its entry again
 		default:
-			return !kept.outdates(instance)
+			return !retained.supersedes(instance)
 		}
 	})
-	maps.DeleteFunc(r.zones, func(zone string, evacuated bool) bool {
+	maps.DeleteFunc(r.evacuated, func(zone string, evacuated bool) bool {
 		_, changed := changes.sinceEpoch(r.epoch, Key{Kind: KindEvacuation, Name: zone})
-		return changed || isRestored && now.evacuates(zone) == evacuated
+		return changed || isRestored && current.isEvacuated(zone) == evacuated
 	})
 }
 
-// outdates reports whether what is retained is later than what is listed under the name.
-func (k retainedInstance) outdates(listed Instance) bool {
-	if k.ended {
-		return k.instance.Born >= listed.Born
+// supersedes reports whether the retained state is later than the listed instance of the name.
+func (r retainedInstance) supersedes(listed Instance) bool {
+	if r.removed {
+		return r.instance.Born >= listed.Born
 	}
-	return k.instance.Outdates(listed)
+	return r.instance.Supersedes(listed)
 }
 
-// Apply returns a content with what is retained in place of what is older or missing.
+// Apply returns the content with retained statements in place of what is older or missing.
 func (r *Retained) Apply(content Content) Content {
 	if r.Len() == 0 {
 		return content
 	}
 	instances := make([]Instance, 0, len(content.Instances))
 	for _, instance := range content.Instances {
-		kept, known := r.instances[instance.Name]
+		retained, known := r.instances[instance.Name]
 		switch {
-		case !known || !kept.outdates(instance):
+		case !known || !retained.supersedes(instance):
 			instances = append(instances, instance)
-		case !kept.ended:
-			instances = append(instances, kept.instance)
+		case !retained.removed:
+			instances = append(instances, retained.instance)
 		}
 	}
 	listed := instancesByName(content.Instances)
-	for name, kept := range r.instances {
-		if _, isListed := listed[name]; !isListed && !kept.ended && content.names(kept.instance.Service) {
-			instances = append(instances, kept.instance)
+	for name, retained := range r.instances {
+		if _, isListed := listed[name]; !isListed && !retained.removed && content.allowsService(retained.instance.Service) {
+			instances = append(instances, retained.instance)
 		}
 	}
-	evacuations := keep(content.Evacuations, func(evacuation Evacuation) bool {
-		evacuated, known := r.zones[evacuation.Zone]
+	evacuations := filter(content.Evacuations, func(evacuation Evacuation) bool {
+		evacuated, known := r.evacuated[evacuation.Zone]
 		return evacuated || !known
 	})
-	for zone, evacuated := range r.zones {
-		if evacuated && !content.evacuates(zone) {
+	for zone, evacuated := range r.evacuated {
+		if evacuated && !content.isEvacuated(zone) {
 			evacuations = append(evacuations, Evacuation{Zone: zone})
 		}
 	}
@@ -185,8 +185,8 @@
 	return byName
 }
 
-// evacuates reports whether a zone is evacuated.
-func (c *Content) evacuates(zone string) bool {
+// isEvacuated reports whether a zone is evacuated.
+func (c *Content) isEvacuated(zone string) bool {
 	for _, evacuation := range c.Evacuations {
 		if evacuation.Zone == zone {
 			return true
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -62,8 +62,8 @@
 	qt.Assert(t, allocations, qt.Equals, 0.0)
 }
 
-// TestLookupIsTheFirstOfExplain compares the index with a plain walk through the
-// routes in matching order.
+// TestLookupIsTheFirstOfExplain compares the indexed lookup with a linear search through the routes
+// in matching order.
 func TestLookupIsTheFirstOfExplain(t *testing.T) {
 	host := rapid.SampledFrom([]string{"", "a.mesh", "b.mesh"})
 	path := rapid.StringMatching(`(/[ab]){0,3}/?`)
@@ -97,16 +97,16 @@
 	})
 }
 
-func TestNewFaults(t *testing.T) {
+func TestNewErrors(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		spoil   func(route *snapshot.Route)
+		corrupt func(route *snapshot.Route)
 		problem string
 	}{
 		{"no target", func(r *snapshot.Route) { r.Targets = nil }, `.*route "r": the route has no target`},
-		{"service not held", func(r *snapshot.Route) { r.Targets[0].Service = "c" }, `.*service "c" is not in this version`},
+		{"unknown service", func(r *snapshot.Route) { r.Targets[0].Service = "c" }, `.*service "c" is not defined in this version`},
 		{"weight", func(r *snapshot.Route) { r.Targets[0].Weight = 0 }, `.*weight 0 of service "a" .*`},
-		{"secret not held", func(r *snapshot.Route) { r.Secrets = []snapshot.SecretHeader{{Header: "X", Secret: "s"}} }, `.*secret "s" is not in this version`},
+		{"unknown secret", func(r *snapshot.Route) { r.Secrets = []snapshot.SecretHeader{{Header: "X", Secret: "s"}} }, `.*secret "s" is not defined in this version`},
 		{"no timeout", func(r *snapshot.Route) { r.Timeout = 0 }, `.*timeout 0s is not between.*`},
 		{"no attempt", func(r *snapshot.Route) { r.MaxAttempts = 0 }, `.*0 attempts is not between.*`},
 		{"path", func(r *snapshot.Route) { r.Match.PathPrefix = "x" }, `.*path "x" does not start with a slash`},
@@ -114,13 +114,13 @@
 		{"no name", func(r *snapshot.Route) { r.Name = "" }, `.*the route has no name`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			spoilt := route("r", snapshot.Match{})
-			test.spoil(&spoilt)
-			_, err := snapshot.New(snapshot.Version{Revision: 1}, []snapshot.Route{spoilt}, services, nil)
+			corrupted := route("r", snapshot.Match{})
+			test.corrupt(&corrupted)
+			_, err := snapshot.New(snapshot.Version{Revision: 1}, []snapshot.Route{corrupted}, services, nil)
 			qt.Assert(t, err, qt.ErrorMatches, test.problem)
 		})
 	}
 	twice := []snapshot.Route{route("r", snapshot.Match{}), route("r", snapshot.Match{})}
 	_, err := snapshot.New(snapshot.Version{Revision: 1}, twice, services, nil)
-	qt.Assert(t, err, qt.ErrorMatches, `route "r" is there twice`)
+	qt.Assert(t, err, qt.ErrorMatches, `route "r" appears twice`)
 }
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Adoption tells what became of a snapshot that was offered to a Store.
+// Adoption is the outcome of offering a snapshot to a Store.
 type Adoption uint8
 
 // The outcomes of Store.Adopt.
@@ -16,13 +16,13 @@
 	Adopted Adoption = 1
 	// Unchanged means that the version in force has the same routes.
 	Unchanged Adoption = 2
-	// RefusedOlder means that a newer revision is or was in force.
+	// RefusedOlder means that a newer revision is in force.
 	RefusedOlder Adoption = 3
-	// RefusedConflict means that the revision is in force with other content.
+	// RefusedConflict means that the same revision is in force with other content.
 	RefusedConflict Adoption = 4
 )
 
-// String returns the outcome in words.
+// String describes the outcome.
 func (a Adoption) String() string {
 	switch a {
 	case Adopted:
@@ -38,19 +38,17 @@
 	}
 }
 
-// Store holds the snapshot in force. Its high-water mark only rises, so that no
-// version older than one held is ever put in force. The zero value is empty and
-// ready for use; a Store must not be copied.
+// Store holds the snapshot in force. Its high-water mark only rises, so that an older version never
+// replaces a newer one. The zero value is empty and ready for use; a Store must not be copied.
 type Store struct {
-	current atomic.Pointer[Snapshot]
-	adopt   sync.Mutex
+	current    atomic.Pointer[Snapshot]
+	adoptMutex sync.Mutex
 }
 
-// Current returns the snapshot in force, or nil before the first. It is one
-// atomic load.
+// Current returns the snapshot in force, or nil if there is none yet. It is a single atomic load.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// HighWater returns the newest version that was ever in force, or zero.
+// HighWater returns the newest version that was ever in force, or the zero Version.
 func (s *Store) HighWater() Version {
 	current := s.current.Load()
 	if current == nil {
@@ -59,19 +57,18 @@
 	return current.version
 }
 
-// Adopt puts next in force in one step, if it is consistent and not below the
-// high-water mark. An equal version with other routes, as after a change of the
-// fleet, is put in force with a higher generation. The error is set only when
-// next is not consistent.
+// Adopt atomically puts next in force if it is consistent and not below the high-water mark. The
+// same version with other routes, as after a change of the fleet, is put in force with a higher
+// generation. An error means that next is nil or not consistent.
 func (s *Store) Adopt(next *Snapshot) (Adoption, error) {
 	if next == nil {
-		return 0, eris.New("no snapshot was offered")
+		return 0, eris.New("the snapshot is nil")
 	}
-	if err := next.Consistent(); err != nil {
+	if err := next.CheckConsistency(); err != nil {
 		return 0, eris.Wrapf(err, "snapshot %s is not consistent", next.version)
 	}
-	s.adopt.Lock()
-	defer s.adopt.Unlock()
+	s.adoptMutex.Lock()
+	defer s.adoptMutex.Unlock()
 	current := s.current.Load()
 	if refused, ok := decideAdoption(current, next); !ok {
 		return refused, nil
@@ -85,11 +82,11 @@
 	return Adopted, nil
 }
 
-// AdoptFleet puts a snapshot in force that differs from the current one in what is known of
-// instances and evacuations. It reports false if another version is in force.
+// AdoptFleet puts a snapshot in force that differs from the current one only in instances and
+// evacuations. It returns false if another version is in force.
 func (s *Store) AdoptFleet(next *Snapshot) bool {
-	s.adopt.Lock()
-	defer s.adopt.Unlock()
+	s.adoptMutex.Lock()
+	defer s.adoptMutex.Unlock()
 	current := s.current.Load()
 	if current == nil || current.version != next.version {
 		return false
@@ -100,7 +97,7 @@
 	return true
 }
 
-// decideAdoption tells whether next may follow current, and otherwise the outcome.
+// decideAdoption reports whether next may replace current, and the outcome.
 func decideAdoption(current, next *Snapshot) (Adoption, bool) {
 	switch {
 	case current == nil, next.version.Newer(current.version):
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// failer is what rapid's and the standard tests have in common.
+// failer is the common interface of standard tests and rapid tests.
 type failer interface {
 	Helper()
 	Fatalf(format string, arguments ...any)
@@ -34,8 +34,8 @@
 	}
 }
 
-// drawDocument returns a document of one of a few resources, so that documents of
-// one revision are at times equal and at times in conflict.
+// drawDocument returns a document with a few possible resources, so that documents of one revision
+// are sometimes equal and sometimes in conflict.
 func drawDocument(t *rapid.T) *snapshot.Document {
 	content := snapshot.Content{Revision: snapshot.Revision(rapid.IntRange(1, 6).Draw(t, "revision"))}
 	for _, name := range []string{"a", "b", "c"} {
@@ -51,7 +51,7 @@
 	return document
 }
 
-// compile gives each service a route with all secrets.
+// compile returns a snapshot with one route per service, each with all secrets.
 func compile(t failer, document *snapshot.Document) *snapshot.Snapshot {
 	content := document.Content()
 	var routes []snapshot.Route
@@ -70,10 +70,9 @@
 	return built
 }
 
-// TestNoVersionGoesBack lets a node receive deltas of arbitrary documents in an
-// arbitrary order: from peers that hold what it holds, from late peers with
-// another base, whole ones from a source that may be stale, repeated ones, parts
-// of one, and deltas under the name of another version.
+// TestNoVersionGoesBack delivers deltas of arbitrary documents to a node in arbitrary order: from
+// peers with the same base, from outdated peers with another base, whole documents of a stale source,
+// duplicates, incomplete deltas, and deltas with the hash of another version.
 func TestNoVersionGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		published := rapid.SliceOfN(rapid.Custom(drawDocument), 2, 6).Draw(t, "published")
@@ -82,7 +81,7 @@
 		var held *snapshot.Document
 		for range rapid.IntRange(1, 30).Draw(t, "deliveries") {
 			delta := snapshot.Diff(drawBase(t, held, pick), pick("target"))
-			spoil(t, &delta, pick)
+			corrupt(t, &delta, pick)
 			received, err := delta.Apply(held)
 			if err != nil {
 				continue
@@ -110,8 +109,8 @@
 	}
 }
 
-// spoil now and then takes something out of a delta or renames its target.
-func spoil(t *rapid.T, delta *snapshot.Delta, pick func(string) *snapshot.Document) {
+// corrupt occasionally removes a part of a delta or changes its target version.
+func corrupt(t *rapid.T, delta *snapshot.Delta, pick func(string) *snapshot.Document) {
 	switch rapid.IntRange(0, 9).Draw(t, "fault") {
 	case 0:
 		if len(delta.Changed) > 0 {
@@ -142,15 +141,15 @@
 	}
 }
 
-// checkHeld checks that a node holds all of a published document and that no
-// route points at something not held.
+// checkHeld checks that a node holds a complete published document and that every route refers only
+// to services and secrets that it holds.
 func checkHeld(t *rapid.T, published []*snapshot.Document, held *snapshot.Document, current *snapshot.Snapshot) {
 	if held == nil {
 		equal(t, current, nil)
 		return
 	}
 	equal(t, current.Version(), held.Version())
-	noError(t, current.Consistent())
+	noError(t, current.CheckConsistency())
 	same := slices.IndexFunc(published, func(document *snapshot.Document) bool {
 		return document.Version().Hash == held.Version().Hash
 	})
@@ -218,7 +217,7 @@
 	qt.Assert(t, store.HighWater().Revision, qt.Equals, snapshot.Revision(revisions))
 }
 
-func TestFleetChangeRaisesTheGeneration(t *testing.T) {
+func TestFleetChangeRaisesGeneration(t *testing.T) {
 	c := qt.New(t)
 	var store snapshot.Store
 	for _, step := range []struct {
--- a/internal/snapshot/table.go
+++ b/internal/snapshot/table.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// routeTable finds the route of a request: by host, then by path segments, then
-// in declared order. A lookup allocates nothing.
+// routeTable finds the route of a request by host, then by path segments, then in declared order. A
+// lookup does not allocate.
 //
-// Routes for the request's host go before routes for any host. Among those, the
-// longest path prefix wins, and among equal prefixes the first declared whose
-// methods and headers match.
+// Routes for the request's host take precedence over routes for any host. Among those, the longest
+// path prefix wins, and among equal prefixes the first declared route whose methods and headers
+// match.
 type routeTable struct {
 	hosts   map[string]*pathNode
 	anyHost *pathNode
@@ -23,7 +23,7 @@
 	entries  []tableEntry
 }
 
-// tableEntry is a route with its headers in an order fixed at build time.
+// tableEntry is a route with its headers in a fixed order.
 type tableEntry struct {
 	route   *Route
 	headers []headerValue
@@ -31,12 +31,12 @@
 
 type headerValue struct{ name, value string }
 
-// newRouteTable indexes the routes, which must stay where they are.
+// newRouteTable indexes the routes. The table refers to the elements of the slice.
 func newRouteTable(routes []Route) routeTable {
 	table := routeTable{hosts: map[string]*pathNode{}, anyHost: &pathNode{}}
 	for i := range routes {
 		route := &routes[i]
-		node := table.root(route.Match.Host).descend(route.Match.PathPrefix)
+		node := table.ensureHost(route.Match.Host).ensurePath(route.Match.PathPrefix)
 		node.entries = append(node.entries, newTableEntry(route))
 	}
 	return table
@@ -51,8 +51,8 @@
 	return entry
 }
 
-// root returns the tree of a host and makes it if need be.
-func (t *routeTable) root(host string) *pathNode {
+// ensureHost returns the tree of a host, which it creates if necessary.
+func (t *routeTable) ensureHost(host string) *pathNode {
 	if host == "" {
 		return t.anyHost
 	}
@@ -65,8 +65,8 @@
 	return node
 }
 
-// descend returns the node of a path prefix and makes it if need be.
-func (n *pathNode) descend(prefix string) *pathNode {
+// ensurePath returns the node of a path prefix, which it creates if necessary.
+func (n *pathNode) ensurePath(prefix string) *pathNode {
 	rest := strings.Trim(prefix, "/")
 	for rest != "" {
 		var segment string
@@ -87,10 +87,10 @@
 func (t *routeTable) lookup(method, host, path string, header http.Header) *Route {
 	rest, rooted := strings.CutPrefix(path, "/")
 	if !rooted {
-		// Such as "*" of OPTIONS: only routes without a path take it.
+		// For example "*" of OPTIONS, which only routes without a path prefix match.
 		rest = ""
 	}
-	if tree := t.treeOf(host); tree != nil {
+	if tree := t.hostTree(host); tree != nil {
 		if route := tree.find(method, path, rest, header); route != nil {
 			return route
 		}
@@ -101,8 +101,8 @@
 	return t.anyHost.find(method, path, rest, header)
 }
 
-// treeOf returns the tree for the host of a request, or nil.
-func (t *routeTable) treeOf(host string) *pathNode {
+// hostTree returns the tree for the host of a request, or nil.
+func (t *routeTable) hostTree(host string) *pathNode {
 	host = hostName(host)
 	if !hasUpper(host) {
 		return t.hosts[host]
@@ -115,11 +115,11 @@
 	for i := range len(host) {
 		lower = append(lower, lowerByte(host[i]))
 	}
-	return t.hosts[string(lower)] // the compiler makes no copy for a map lookup
+	return t.hosts[string(lower)] // this conversion in a map lookup does not allocate
 }
 
-// find returns the route of the longest matching prefix. Its recursion is as
-// deep as the deepest prefix, at most MaxPathSegments.
+// find returns the matching route with the longest prefix. The recursion depth is at most
+// MaxPathSegments.
 func (n *pathNode) find(method, path, rest string, header http.Header) *Route {
 	if len(n.children) > 0 && rest != "" {
 		segment, next, _ := strings.Cut(rest, "/")
@@ -130,30 +130,30 @@
 		}
 	}
 	for i := range n.entries {
-		if n.entries[i].takes(method, path, header) {
+		if n.entries[i].matches(method, path, header) {
 			return n.entries[i].route
 		}
 	}
 	return nil
 }
 
-func (e *tableEntry) takes(method, path string, header http.Header) bool {
+func (e *tableEntry) matches(method, path string, header http.Header) bool {
 	if e.route.Match.Literal && !strings.HasPrefix(path, e.route.Match.PathPrefix) {
 		return false
 	}
-	if !takesMethod(e.route.Match.Methods, method) {
+	if !matchesMethod(e.route.Match.Methods, method) {
 		return false
 	}
 	for _, wanted := range e.headers {
-		if !takesHeader(header, wanted.name, wanted.value) {
+		if !matchesHeader(header, wanted.name, wanted.value) {
 			return false
 		}
 	}
 	return true
 }
 
-// takesMethod reports whether the methods of a match accept the method.
-func takesMethod(methods []string, method string) bool {
+// matchesMethod reports whether the methods of a match include the method.
+func matchesMethod(methods []string, method string) bool {
 	if len(methods) == 0 {
 		return true
 	}
@@ -165,9 +165,9 @@
 	return false
 }
 
-// takesHeader reports whether the header is there once with exactly the value. A
-// header sent twice matches nothing, as a back end might read the other value.
-func takesHeader(header http.Header, name, value string) bool {
+// matchesHeader reports whether the header occurs exactly once and has the value. A repeated header
+// never matches, as the back end might use the other value.
+func matchesHeader(header http.Header, name, value string) bool {
 	values := header[name]
 	return len(values) == 1 && values[0] == value
 }
--- a/internal/source/bad_answers_test.go
+++ b/internal/source/bad_answers_test.go
@@ -175,7 +175,7 @@
 		{"endless header", raw("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 64<<10) + "\r\n\r\n"), source.StatusInvalid, ".*not valid HTTP"},
 		{"revision 0", ok(strings.Replace(body, `"revision":8`, `"revision":0`, 1), etag), source.StatusInvalid, ".*has no revision"},
 		{"negative revision", ok(strings.Replace(body, `"revision":8`, `"revision":-8`, 1), etag), source.StatusInvalid, `.*"revision" has the wrong type.*`},
-		{"duplicate names", ok(encode(c, double), etag), source.StatusInvalid, ".*policy trips is there twice"},
+		{"duplicate names", ok(encode(c, double), etag), source.StatusInvalid, ".*policy trips appears twice"},
 		{"ETag of another document", ok(body, source.ETag(other.Version())), source.StatusInvalid, ".*ETag does not match.*"},
 		{"weak ETag", ok(body, "W/"+etag), source.StatusInvalid, ".*ETag does not match.*"},
 		{"no ETag", reply(http.StatusOK, body, "Content-Type: application/json"), source.StatusInvalid, ".*ETag does not match.*"},
