--- a/internal/mirror/concurrent_watch_test.go
+++ b/internal/mirror/concurrent_watch_test.go
@@ -93,8 +93,8 @@
 	names := []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6", "i-7", "i-8"}
 	for name, row := range map[string]struct {
 		outage    time.Duration
-		removed   []string // when the store is back
-		published []string // published removals after that
+		removed   []string // removed by the end of the outage
+		published []string // removals published after it
 		// compacted makes the store drop its history, so that it is listed again.
 		compacted bool
 	}{
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -160,7 +160,7 @@
 	}
 	if events.Compacted || events.At.Epoch() > after.Epoch() {
 		m.options.Logger.WithFields(logrus.Fields{"after": after.String(), "epoch": events.At.Epoch()}).
-			Warn("the store no longer has the history after the revision: listing it again")
+			Warn("the store no longer has the history after the revision: listing the store again")
 		return m.list(ctx)
 	}
 	changes := m.withoutNewReadyInstances(events.Items) // computed before the events are applied
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -329,9 +329,9 @@
 	rows := map[string]struct {
 		outage    time.Duration
 		compacted bool
-		expired   []string // when the store is back
-		returning []string // a second later
-		held      int      // instances when the store is back
+		expired   []string // expired by the end of the outage
+		returning []string // written again a second later
+		held      int      // instances right after the outage
 		want      int      // instances after the grace period
 	}{
 		"all leases expire, all return":          {4 * time.Second, false, names, names, 4, 4},
