--- a/internal/dataplane/losses/losses.go
+++ b/internal/dataplane/losses/losses.go
@@ -1,5 +1,5 @@
-// Package losses sums up, for each second and route, which requests did not end in time,
-// why, and where their time went: one line of the log a second and route that lost any.
+// Package losses aggregates, per second and route, which requests did not end in time, why,
+// and where their time was spent. It logs one line per second for each route with losses.
 package losses
 
 import (
@@ -14,52 +14,53 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Ending tells how a request ended for its caller.
+// Ending is how a request ended for its caller.
 type Ending string
 
 // The endings.
 const (
 	InTime Ending = "in_time"
 	Late   Ending = "late"
-	// Refused: it did not run, and its caller was told when to come back.
+	// Refused: the request was not executed, and its caller was told when to retry.
 	Refused Ending = "refused"
-	// RefusedAgain: the same for a caller that had been refused before.
+	// RefusedAgain: like Refused, for a caller that had been refused before.
 	RefusedAgain Ending = "refused_again"
-	// Failed: the instance's own answer is a failure.
+	// Failed: the instance answered with a failure.
 	Failed Ending = "failed"
-	// Unknown: it may have run.
+	// Unknown: the request may have been executed.
 	Unknown Ending = "unknown"
-	// GivenUp: the caller left before the answer.
+	// GivenUp: the caller cancelled the request before it was answered.
 	GivenUp Ending = "given_up"
 )
 
-// Endings are all of them, in the order of reports.
+// Endings returns all endings in the order in which reports list them.
 func Endings() []Ending {
 	return []Ending{InTime, Late, Refused, RefusedAgain, Failed, Unknown, GivenUp}
 }
 
-// Times are where the time of a request went.
+// Times is how the time of a request was spent.
 type Times struct {
-	// Waiting for a slot or a link, at the Instance, and Between nodes, each in the last
-	// send; Again is the time of the sends before.
+	// Waiting is the wait time for a slot or a link, Instance the processing time at the
+	// instance, and Between the time between nodes, each for the last send. Again is the
+	// time of all earlier sends.
 	Waiting, Instance, Between, Again time.Duration
 }
 
-// Request is what became of one request.
+// Request is the result of one request.
 type Request struct {
 	Route, Service string
 	Ending         Ending
-	// Reason is why it was not answered; empty for none.
+	// Reason is why the request was not answered; empty for none.
 	Reason string
-	// Instance is the last one that was asked.
+	// Instance is the last instance to which the request was sent.
 	Instance string
 	Times    Times
 }
 
-// Message is the text of the lines.
+// Message is the message of the log lines.
 const Message = "losses of a second"
 
-// Fields of the lines, besides those named like an Ending.
+// Fields of the log lines, in addition to one field per Ending.
 const (
 	FieldRoute     = "route"
 	FieldService   = "service"
@@ -74,27 +75,27 @@
 )
 
 const (
-	// maxLines bounds the lines of a second; the routes that lost most are written.
+	// maxLines limits the log lines per second; the routes with the most losses are logged.
 	maxLines = 8
-	// maxNamed bounds the reasons and the instances that a line names.
-	maxNamed = 6
-	// maxRoutes bounds the routes of a second.
+	// maxListed limits the number of reasons and of instances in a line.
+	maxListed = 6
+	// maxRoutes limits the number of routes per second.
 	maxRoutes = 1000
-	// SecondFormat is how a line names its second.
+	// SecondFormat is the time format of FieldSecond.
 	SecondFormat = time.RFC3339
 )
 
-// Ledger sums up requests. It is safe for concurrent use.
+// Ledger aggregates requests. It is safe for concurrent use.
 type Ledger struct {
 	logger logrus.FieldLogger
 
 	mutex  sync.Mutex
 	second time.Time
-	routes map[string]*sums
+	routes map[string]*routeTotals
 }
 
-// sums are those of one route in one second.
-type sums struct {
+// routeTotals holds the totals of one route in one second.
+type routeTotals struct {
 	service   string
 	endings   map[Ending]int
 	reasons   map[string]int
@@ -102,12 +103,12 @@
 	times     Times
 }
 
-// New returns a Ledger that writes by the logger.
+// New returns a Ledger that writes to the logger.
 func New(logger logrus.FieldLogger) *Ledger {
-	return &Ledger{logger: logger, routes: make(map[string]*sums)}
+	return &Ledger{logger: logger, routes: make(map[string]*routeTotals)}
 }
 
-// Note takes over a request that ended now.
+// Note records a request that ended now.
 func (l *Ledger) Note(request Request, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -117,7 +118,7 @@
 		if len(l.routes) >= maxRoutes {
 			return
 		}
-		found = &sums{
+		found = &routeTotals{
 			service: request.Service, endings: make(map[Ending]int),
 			reasons: make(map[string]int), instances: make(map[string]int),
 		}
@@ -126,7 +127,7 @@
 	found.add(request)
 }
 
-func (s *sums) add(request Request) {
+func (s *routeTotals) add(request Request) {
 	s.endings[request.Ending]++
 	if request.Ending == InTime {
 		return
@@ -143,8 +144,8 @@
 	s.times.Again += request.Times.Again
 }
 
-// lost counts the requests that did not end in time.
-func (s *sums) lost() int {
+// lost returns the number of requests that did not end in time.
+func (s *routeTotals) lost() int {
 	total := 0
 	for ending, count := range s.endings {
 		if ending != InTime {
@@ -154,14 +155,14 @@
 	return total
 }
 
-// Flush writes the lines of a second that is over.
+// Flush writes the lines of the last second if it is over.
 func (l *Ledger) Flush(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.advance(now)
 }
 
-// advance writes the lines of the former second. The mutex is held.
+// advance writes the lines of the last second if it is over. The caller must hold the mutex.
 func (l *Ledger) advance(now time.Time) {
 	current := now.Truncate(time.Second)
 	if current.Equal(l.second) {
@@ -182,10 +183,10 @@
 	clear(l.routes)
 }
 
-func (l *Ledger) write(route string, found *sums, omitted int) {
+func (l *Ledger) write(route string, found *routeTotals, omitted int) {
 	fields := logrus.Fields{
 		FieldRoute: route, FieldService: found.service, FieldSecond: l.second.UTC().Format(SecondFormat),
-		FieldReasons: named(found.reasons), FieldInstances: named(found.instances),
+		FieldReasons: formatCounts(found.reasons), FieldInstances: formatCounts(found.instances),
 		FieldWaiting: found.times.Waiting.Milliseconds(), FieldInstance: found.times.Instance.Milliseconds(),
 		FieldBetween: found.times.Between.Milliseconds(), FieldAgain: found.times.Again.Milliseconds(),
 	}
@@ -198,12 +199,12 @@
 	l.logger.WithFields(fields).Info(Message)
 }
 
-// named writes the greatest counts as "name:count", joined by commas.
-func named(counts map[string]int) string {
+// formatCounts returns the highest counts as "name:count", joined by commas.
+func formatCounts(counts map[string]int) string {
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
-	names = names[:min(len(names), maxNamed)]
+	names = names[:min(len(names), maxListed)]
 	for i, name := range names {
 		names[i] = fmt.Sprintf("%s:%d", name, counts[name])
 	}
--- a/internal/dataplane/losses/losses_test.go
+++ b/internal/dataplane/losses/losses_test.go
@@ -18,7 +18,7 @@
 	logger, lines := logrustest.NewNullLogger()
 	ledger := losses.New(logger)
 	for i := range 5 {
-		ledger.Note(losses.Request{Route: "calm", Ending: losses.InTime}, start.Add(time.Duration(i)*time.Millisecond))
+		ledger.Note(losses.Request{Route: "no-losses", Ending: losses.InTime}, start.Add(time.Duration(i)*time.Millisecond))
 	}
 	ledger.Note(losses.Request{Route: "short", Service: "s", Ending: losses.InTime}, start)
 	ledger.Note(losses.Request{
@@ -28,7 +28,7 @@
 	for range 2 {
 		ledger.Note(losses.Request{Route: "short", Service: "s", Ending: losses.Refused, Reason: "overloaded", Instance: "i-2"}, start)
 	}
-	c.Assert(lines.AllEntries(), qt.HasLen, 0) // the second is not over
+	c.Assert(lines.AllEntries(), qt.HasLen, 0) // the second is not over yet
 	ledger.Flush(start.Add(time.Second))
 	c.Assert(lines.AllEntries(), qt.HasLen, 1)
 	data := lines.LastEntry().Data
@@ -44,8 +44,8 @@
 	c.Check(lines.AllEntries(), qt.HasLen, 1)
 }
 
-// TestLinesAreBounded: of many routes with losses, those that lost most are written.
-func TestLinesAreBounded(t *testing.T) {
+// TestLinesAreLimited checks that of many routes with losses, those with the most are logged.
+func TestLinesAreLimited(t *testing.T) {
 	c := qt.New(t)
 	logger, lines := logrustest.NewNullLogger()
 	ledger := losses.New(logger)
--- a/internal/dataplane/repeats/repeats_test.go
+++ b/internal/dataplane/repeats/repeats_test.go
@@ -14,19 +14,20 @@
 
 func account(string, time.Time) (spent, allowed float64) { return 3.04, 12 }
 
-// TestOneLineForEachServiceWithRepeats: services with first sends only need none.
+// TestOneLineForEachServiceWithRepeats also checks that a service with first sends only is
+// not logged.
 func TestOneLineForEachServiceWithRepeats(t *testing.T) {
 	c := qt.New(t)
 	logger, lines := logrustest.NewNullLogger()
 	ledger := repeats.New(logger, account)
 	for range 5 {
-		ledger.Sent("calm", repeats.First, 0.01, start)
+		ledger.Sent("no-repeats", repeats.First, 0.01, start)
 		ledger.Sent("data", repeats.First, 0.3, start)
 	}
 	ledger.Sent("data", repeats.AfterRejection, 1, start)
 	ledger.Sent("data", repeats.AfterFailure, 0, start)
 	ledger.Stopped("data", start)
-	c.Assert(lines.AllEntries(), qt.HasLen, 0) // the second is not over
+	c.Assert(lines.AllEntries(), qt.HasLen, 0) // the second is not over yet
 	ledger.Flush(start.Add(time.Second))
 	c.Assert(lines.AllEntries(), qt.HasLen, 1)
 	data := lines.LastEntry().Data
@@ -41,8 +42,9 @@
 	c.Check(lines.AllEntries(), qt.HasLen, 1)
 }
 
-// TestStoppedAloneIsNews: a bound that stops all repeats is seen.
-func TestStoppedAloneIsNews(t *testing.T) {
+// TestStoppedRepeatsAreLogged checks that a service is logged if the bound stops all of its
+// repeats.
+func TestStoppedRepeatsAreLogged(t *testing.T) {
 	logger, lines := logrustest.NewNullLogger()
 	ledger := repeats.New(logger, account)
 	ledger.Stopped("data", start)
--- a/internal/dataplane/returns/returns.go
+++ b/internal/dataplane/returns/returns.go
@@ -1,7 +1,7 @@
-// Package returns learns from the requests of each route how its callers behave:
-// how long they wait in all, so that one that comes back after a refusal can be told
-// from one that is new, and whether they come back at all. An instance that calls
-// another service, for one, does not: a refusal of its call fails its own request.
+// Package returns learns from the requests of each route how its callers behave: how long
+// they wait in total, which distinguishes a retry after a refusal from a new request, and
+// whether they retry at all. An instance that calls another service, for example, does not:
+// a refusal of its call fails its own request.
 package returns
 
 import (
@@ -11,31 +11,31 @@
 )
 
 const (
-	// returnShare of the refused requests must have come back, or the callers of the
-	// route count as such that don't.
-	returnShare = 0.3
-	// leastRefusals must be known before callers count as such.
-	leastRefusals = 5
-	// halfLife is how fast refusals and returns are forgotten.
+	// minReturnShare is the share of refused requests that must have been retried for the
+	// callers of a route to count as retrying.
+	minReturnShare = 0.3
+	// minRefusals is the number of refusals below which callers count as retrying.
+	minRefusals = 5
+	// halfLife is the half-life of the counts of refusals and retries.
 	halfLife = 20 * time.Second
-	// bucketsPerOctave is how finely the time that callers name is told apart; two
-	// times within a bucket (3.5 %) count as the same.
+	// bucketsPerOctave is the resolution at which callers' wait times are distinguished.
+	// Two times within a bucket (3.5 %) count as equal.
 	bucketsPerOctave = 20
-	// fadeAt is the number of requests after which older ones count half.
-	fadeAt = 256
-	// maxPending bounds the refusals of a route that may still come back.
+	// decayThreshold is the number of requests after which all counts are halved.
+	decayThreshold = 256
+	// maxPending limits the number of pending refusals of a route.
 	maxPending = 1024
-	// pressureHalfLife is how fast the share of refused requests is forgotten.
+	// pressureHalfLife is the half-life of the counts behind Pressure.
 	pressureHalfLife = time.Second
-	// maxRoutes bounds the routes that are remembered.
+	// maxRoutes limits the number of routes that are tracked.
 	maxRoutes = 10_000
 )
 
-// Caller is what is believed of the caller of one request.
+// Caller is the assessment of the caller of one request.
 type Caller struct {
-	// Elapsed is how long ago the caller first sent the request; zero for a new one.
+	// Elapsed is the time since the caller first sent the request; zero for a new request.
 	Elapsed time.Duration
-	// RetriesRefused says that callers of the route send refused requests again.
+	// RetriesRefused is set if callers of the route retry refused requests.
 	RetriesRefused bool
 }
 
@@ -45,26 +45,28 @@
 	routes map[string]*route
 }
 
-// New returns a Tracker that knows nothing: callers count as such that come back.
+// New returns an empty Tracker. Without data, callers count as retrying.
 func New() *Tracker { return &Tracker{routes: make(map[string]*route)} }
 
-// route is what is known of the callers of one route.
+// route holds the data about the callers of one route.
 type route struct {
-	// times counts the times that callers name, by bucket.
+	// times counts the wait times that callers state, by bucket.
 	times map[int]float64
 	total float64
-	// refused and returned are counted with halfLife, as of countedAt.
+	// refused and returned count refusals and retries. They decay with halfLife and are as
+	// of countedAt.
 	refused, returned float64
 	countedAt         time.Time
-	// newRefused and newEnded count new requests, those refused and all, with
-	// pressureHalfLife, as of pressureAt.
+	// newRefused and newEnded count the refused ones and all of the new requests. They
+	// decay with pressureHalfLife and are as of pressureAt.
 	newRefused, newEnded float64
 	pressureAt           time.Time
-	// pending are the ends of the time of refused callers that may still return.
+	// pending holds, for each refused request that may still be retried, when its caller
+	// stops waiting.
 	pending []time.Time
 }
 
-// Arrived notes a request whose caller waits for so long, and tells what is believed
+// Arrived records a request whose caller waits for callerTime, and returns the assessment
 // of the caller.
 func (t *Tracker) Arrived(name string, callerTime time.Duration, now time.Time) Caller {
 	t.mutex.Lock()
@@ -72,14 +74,14 @@
 	known := t.routeOf(name)
 	known.advance(now)
 	elapsed := known.elapsed(callerTime)
-	known.noteTime(callerTime)
+	known.recordTime(callerTime)
 	if elapsed > 0 {
 		known.returned++
 	}
 	return Caller{Elapsed: elapsed, RetriesRefused: known.retriesRefused()}
 }
 
-// Refused notes that a request was refused as not run.
+// Refused records that a request was refused without being executed.
 func (t *Tracker) Refused(name string, callerTime time.Duration, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -90,7 +92,7 @@
 	}
 }
 
-// Ended notes the end of a request, and whether it was refused.
+// Ended records the end of a request and whether it was refused.
 func (t *Tracker) Ended(name string, caller Caller, refused bool, now time.Time) {
 	if caller.Elapsed > 0 {
 		return
@@ -98,33 +100,33 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.routeOf(name)
-	known.fadePressure(now)
+	known.decayPressure(now)
 	known.newEnded++
 	if refused {
 		known.newRefused++
 	}
 }
 
-// Pressure is the share of new requests that was refused lately, from 0 to 1. Where it
-// is high, those that come back have little chance.
+// Pressure returns the share of new requests that were refused recently, from 0 to 1. If it
+// is high, retries have little chance.
 func (t *Tracker) Pressure(name string, now time.Time) float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.routeOf(name)
-	known.fadePressure(now)
+	known.decayPressure(now)
 	return known.newRefused / (known.newEnded + 1)
 }
 
-func (r *route) fadePressure(now time.Time) {
-	kept := keptShare(r.pressureAt, now, pressureHalfLife)
-	r.newRefused *= kept
-	r.newEnded *= kept
+func (r *route) decayPressure(now time.Time) {
+	factor := decayFactor(r.pressureAt, now, pressureHalfLife)
+	r.newRefused *= factor
+	r.newEnded *= factor
 	r.pressureAt = now
 }
 
-// keptShare is what is left at now of a count as of a moment; nothing was counted
-// before the zero time.
-func keptShare(since, now time.Time, halfLife time.Duration) float64 {
+// decayFactor returns the factor by which a count has decayed between since and now. The
+// zero time means that nothing has been counted yet.
+func decayFactor(since, now time.Time, halfLife time.Duration) float64 {
 	if since.IsZero() {
 		return 1
 	}
@@ -143,54 +145,54 @@
 	return known
 }
 
-// advance counts refusals whose callers have no time left to come back, and forgets
-// what is old.
+// advance counts the refusals whose callers have no time left to retry, and decays the
+// counts.
 func (r *route) advance(now time.Time) {
-	kept := keptShare(r.countedAt, now, halfLife)
-	r.refused *= kept
-	r.returned *= kept
+	factor := decayFactor(r.countedAt, now, halfLife)
+	r.refused *= factor
+	r.returned *= factor
 	r.countedAt = now
-	over := 0
-	for over < len(r.pending) && !r.pending[over].After(now) {
-		over++
+	expired := 0
+	for expired < len(r.pending) && !r.pending[expired].After(now) {
+		expired++
 	}
-	r.refused += float64(over)
-	r.pending = r.pending[over:]
+	r.refused += float64(expired)
+	r.pending = r.pending[expired:]
 	if len(r.pending) == 0 {
 		r.pending = nil
 	}
 }
 
 func (r *route) retriesRefused() bool {
-	return r.refused < leastRefusals || r.returned >= returnShare*r.refused
+	return r.refused < minRefusals || r.returned >= minReturnShare*r.refused
 }
 
-// elapsed is how much less than usual the caller waits. A caller that waits longer
-// than others is a new one.
+// elapsed returns by how much the caller's wait time is shorter than the usual one. A caller
+// that waits longer than usual counts as new.
 func (r *route) elapsed(callerTime time.Duration) time.Duration {
 	usual, known := r.usualBucket()
 	if !known || bucketOf(callerTime) >= usual {
 		return 0
 	}
-	return max(timeOf(usual)-callerTime, 0)
+	return max(bucketTime(usual)-callerTime, 0)
 }
 
-// usualBucket holds the time that most callers name: that of a new request, as those
-// that come back have all sorts of times left.
+// usualBucket returns the bucket of the most frequent wait time. This is the wait time of
+// new requests, as the remaining times of retries vary.
 func (r *route) usualBucket() (usual int, known bool) {
-	most := 0.0
+	highest := 0.0
 	for bucket, count := range r.times {
-		if count > most || count == most && bucket > usual {
-			usual, most, known = bucket, count, true
+		if count > highest || count == highest && bucket > usual {
+			usual, highest, known = bucket, count, true
 		}
 	}
 	return usual, known
 }
 
-func (r *route) noteTime(callerTime time.Duration) {
+func (r *route) recordTime(callerTime time.Duration) {
 	r.times[bucketOf(callerTime)]++
 	r.total++
-	if r.total < fadeAt {
+	if r.total < decayThreshold {
 		return
 	}
 	r.total = 0
@@ -204,11 +206,11 @@
 	}
 }
 
-// bucketOf returns the bucket whose middle is closest.
+// bucketOf returns the bucket whose center is closest.
 func bucketOf(callerTime time.Duration) int {
 	return int(math.Round(bucketsPerOctave * math.Log2(float64(max(callerTime, time.Millisecond)))))
 }
 
-func timeOf(bucket int) time.Duration {
+func bucketTime(bucket int) time.Duration {
 	return time.Duration(math.Exp2(float64(bucket) / bucketsPerOctave))
 }
--- a/internal/dataplane/returns/returns_test.go
+++ b/internal/dataplane/returns/returns_test.go
@@ -12,16 +12,16 @@
 
 var start = time.Unix(1000, 0)
 
-// TestReturning: a caller with less time than most has been there before, one with
-// more or about the same has not.
-func TestReturning(t *testing.T) {
+// TestElapsed checks that a request whose caller has less time left than usual counts as a
+// retry, and one with about as much or more as new.
+func TestElapsed(t *testing.T) {
 	c := qt.New(t)
 	tracker := New()
 	c.Check(tracker.Arrived(name, 2500*time.Millisecond, start), qt.Equals, Caller{RetriesRefused: true})
 	for range 20 {
 		tracker.Arrived(name, 2500*time.Millisecond, start)
 	}
-	for range 40 { // more come back than are new, with all sorts of times
+	for range 40 { // more retries than new requests, with different times left
 		tracker.Arrived(name, time.Duration(len(tracker.routes[name].times))*100*time.Millisecond, start)
 	}
 	for callerTime, want := range map[time.Duration]time.Duration{
@@ -35,22 +35,22 @@
 	}
 }
 
-// TestComesBack: callers count as such that don't come back only when the time of
-// enough refused ones was over without a return.
-func TestComesBack(t *testing.T) {
+// TestRetriesRefused checks that callers count as not retrying only once the time of enough
+// refused requests has passed without a retry.
+func TestRetriesRefused(t *testing.T) {
 	for label, row := range map[string]struct {
 		refused, returned int
 		later             time.Duration
 		want              bool
 	}{
-		"nothing refused":           {0, 0, time.Minute, true},
-		"few refused":               {leastRefusals - 1, 0, 2 * time.Second, true},
-		"they still have time":      {50, 0, 500 * time.Millisecond, true},
-		"none came back":            {50, 0, 2 * time.Second, false},
-		"some came back":            {50, 25, 2 * time.Second, true},
-		"a few had less time":       {50, 5, 2 * time.Second, false},
-		"it was long ago":           {50, 0, 5 * time.Minute, true},
-		"few of few, but all of it": {leastRefusals + 1, 0, 2 * time.Second, false},
+		"nothing refused":        {0, 0, time.Minute, true},
+		"few refusals":           {minRefusals - 1, 0, 2 * time.Second, true},
+		"callers have time left": {50, 0, 500 * time.Millisecond, true},
+		"no retries":             {50, 0, 2 * time.Second, false},
+		"some retries":           {50, 25, 2 * time.Second, true},
+		"too few retries":        {50, 5, 2 * time.Second, false},
+		"refusals long ago":      {50, 0, 5 * time.Minute, true},
+		"just enough refusals":   {minRefusals + 1, 0, 2 * time.Second, false},
 	} {
 		t.Run(label, func(t *testing.T) {
 			c := qt.New(t)
@@ -70,7 +70,8 @@
 	}
 }
 
-// TestMemoryIsBounded: whatever callers name, little is kept of it.
+// TestMemoryIsBounded checks that the data of a route stays small, whatever times callers
+// state.
 func TestMemoryIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := New()
@@ -81,14 +82,14 @@
 			}
 			tracker.Refused(name, callerTime, start)
 		}
-		if known := tracker.routes[name]; known != nil && (len(known.times) > 2*fadeAt || len(known.pending) > maxPending) {
-			t.Fatalf("%d times, %d refusals are kept", len(known.times), len(known.pending))
+		if known := tracker.routes[name]; known != nil && (len(known.times) > 2*decayThreshold || len(known.pending) > maxPending) {
+			t.Fatalf("%d times and %d refusals are stored", len(known.times), len(known.pending))
 		}
 	})
 }
 
-// TestPressure is the share of new requests that is refused, of which a second later
-// half is forgotten; those that came back don't count.
+// TestPressure checks that the pressure is the share of refused new requests, that the
+// counts halve within a second, and that retries do not count.
 func TestPressure(t *testing.T) {
 	c := qt.New(t)
 	tracker := New()
