--- a/internal/dataplane/budget/account.go
+++ b/internal/dataplane/budget/account.go
@@ -5,63 +5,65 @@
 )
 
 const (
-	// buckets divide the window of the bound.
+	// buckets is the number of buckets into which the window of the bound is divided.
 	buckets = 40
-	// kept is one bucket more: together they cover the whole window at any moment, while
-	// the newest of them alone, as many as buckets, cover it at most.
-	kept = buckets + 1
+	// keptBuckets is one more than buckets. All of them together always cover at least the
+	// whole window, while the newest ones without the oldest cover at most the window.
+	keptBuckets = buckets + 1
 )
 
-// series counts by moments: each value goes into the bucket of its moment.
-type series struct {
-	values [kept]float64
-	newest int64 // number of the newest bucket
+// slidingWindow sums up values in buckets by the time at which they are added.
+type slidingWindow struct {
+	values [keptBuckets]float64
+	newest int64 // index of the newest bucket
 }
 
-// advance empties the buckets that are too old.
-func (s *series) advance(number int64) {
-	for step := 0; s.newest < number && step < kept; step++ {
+// advance moves the window forward to the bucket and clears the buckets that it reuses.
+func (s *slidingWindow) advance(number int64) {
+	for step := 0; s.newest < number && step < keptBuckets; step++ {
 		s.newest++
-		s.values[s.newest%kept] = 0
+		s.values[s.newest%keptBuckets] = 0
 	}
 	s.newest = max(s.newest, number)
 }
 
-// add puts a value into the newest bucket.
-func (s *series) add(value float64) { s.values[s.newest%kept] += value }
+// add adds a value to the newest bucket.
+func (s *slidingWindow) add(value float64) { s.values[s.newest%keptBuckets] += value }
 
-// raise makes the value of the newest bucket at least as great as another.
-func (s *series) raise(value float64) {
-	s.values[s.newest%kept] = max(s.values[s.newest%kept], value)
+// raiseTo raises the value of the newest bucket to the given one if it is lower.
+func (s *slidingWindow) raiseTo(value float64) {
+	s.values[s.newest%keptBuckets] = max(s.values[s.newest%keptBuckets], value)
 }
 
-// most adds up what covers the window or more.
-func (s *series) most() (sum float64) {
+// upperSum returns the sum of all buckets, which cover at least the window.
+func (s *slidingWindow) upperSum() (sum float64) {
 	for _, value := range s.values {
 		sum += value
 	}
 	return sum
 }
 
-// least adds up what covers the window at most.
-func (s *series) least() float64 { return s.most() - s.values[(s.newest+1)%kept] }
+// lowerSum returns the sum without the oldest bucket; the others cover at most the window.
+func (s *slidingWindow) lowerSum() float64 { return s.upperSum() - s.values[(s.newest+1)%keptBuckets] }
 
-// greatest is the greatest of the values.
-func (s *series) greatest() (greatest float64) {
+// maximum returns the highest value of a bucket.
+func (s *slidingWindow) maximum() (highest float64) {
 	for _, value := range s.values {
-		greatest = max(greatest, value)
+		highest = max(highest, value)
 	}
-	return greatest
+	return highest
 }
 
-// account is what this node knows of its sends to one service.
+// account holds what this node counts for one service.
 type account struct {
-	// requests are those that start at this node, but for calls of repeated runs.
-	requests series
-	// repeats are the sends beyond the first, and the calls of repeated runs.
-	repeats series
-	// calls are the requests that the instance beside the node sends.
-	calls series
+	// requests counts the requests that start at this node, without the calls made by
+	// repeated runs.
+	requests slidingWindow
+	// repeats counts the sends beyond the first of each request and the calls made by
+	// repeated runs.
+	repeats slidingWindow
+	// calls counts the requests that the node's local instance sends.
+	calls slidingWindow
 }
 
 func (a *account) advance(number int64) {
@@ -70,13 +72,14 @@
 	a.calls.advance(number)
 }
 
-// epoch makes bucket numbers from the monotonic clock.
+// epoch is the start of the first bucket. It carries a monotonic clock reading, so that bucket
+// numbers do not depend on changes of the wall clock.
 var epoch = time.Now()
 
-// windowOf is the number of the window of a moment.
+// windowOf returns the number of the window that contains the given time.
 func windowOf(now time.Time, window time.Duration) int64 { return bucketOf(now, window) / buckets }
 
-// bucketOf is the number of the bucket of a moment.
+// bucketOf returns the number of the bucket that contains the given time.
 func bucketOf(now time.Time, window time.Duration) int64 {
 	width := max(window/buckets, time.Millisecond)
 	return now.Sub(epoch).Nanoseconds() / int64(width)
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -1,12 +1,13 @@
-// Package budget keeps what a fleet sends to the instances of a service beyond the first
-// send of each request within a bound: a ratio of the requests for the service and a slack,
-// in each window of time. It counts over the graph of calls: a run that is a repeat makes
-// its calls again, and these are repeats at the service that is called.
+// Package budget limits the repeats that a fleet sends to the instances of a service, that
+// is all sends beyond the first of each request. The bound in each time window is a ratio of
+// the requests for the service plus a slack. It covers the whole call graph: a run (the
+// execution of a request at an instance) that is a repeat makes its calls again, and these
+// count as repeats at the called service.
 //
-// Nothing is agreed between nodes. All sends of a request are made by the node at which it
-// starts, and the calls of a run start at the node beside its instance. So each node bounds
-// what starts there by its own requests and an equal part of the slack, and the bounds of
-// the nodes add up to that of the fleet, whoever starts, stops or can't be reached.
+// The nodes do not coordinate. All sends of a request are made by the node at which it
+// starts, and the calls of a run start at the node of its instance. Each node therefore
+// limits what starts there by its own requests and an equal part of the slack. The bounds of
+// the nodes add up to that of the fleet, whichever nodes start, stop or are unreachable.
 package budget
 
 import (
@@ -16,86 +17,88 @@
 
 // Options set the bound of a fleet.
 type Options struct {
-	// Ratio is how many repeats a request allows for.
+	// Ratio is the number of repeats allowed per request.
 	Ratio float64
-	// Slack is how many repeats the fleet may make beyond that in a window.
+	// Slack is the number of further repeats that the fleet may make in a window.
 	Slack float64
-	// Window is the time over which both count.
+	// Window is the length of the time window for both.
 	Window time.Duration
-	// FirstStart says that no process of this node ran before. It counts for New only.
+	// FirstStart is set if no process of this node ran before. It is used by New only.
 	FirstStart bool
 }
 
 const (
-	// Share is how much of its part a node uses. The rest is for what is only estimated:
-	// which calls are those of repeated runs, and how many a run makes. Over the plans of
-	// TestFleetKeepsTheBound the fleet uses 0.9 of the bound at most with it.
-	Share = 0.8
-	// callsAfterFailure is how many times the mean of all runs one calls whose request failed
-	// at an instance before: requests fail with their calls, so that most of those are
-	// requests that call. Measured: 1.9 calls where the mean is 1.4 (docs/incidents/inc-budget.md).
-	callsAfterFailure = 2
-	// mostInherited is the greatest probability of a call's being one of a repeated run: it
-	// tells calls from what certainly is a repeat, which may be refused.
-	mostInherited = 0.99
-	// leastFanOut is from how many calls of a run to a service they are taken into account.
-	leastFanOut = 0.02
-	// maxServices bounds the services that are remembered.
+	// UsableShare is the share of its part of the bound that a node uses. The rest allows for
+	// errors of the estimates of which calls are made by repeated runs and how many calls a
+	// run makes. With it, the fleets of TestFleetKeepsTheBound use at most 0.9 of the bound.
+	UsableShare = 0.8
+	// failedCallFactor is the number of calls made by a run whose request failed at an
+	// instance before, as a multiple of the mean of all runs. A request fails if its calls
+	// fail, so most failed requests are ones that make calls: 1.9 calls where the mean is 1.4
+	// (docs/incidents/inc-budget.md).
+	failedCallFactor = 2
+	// maxInherited is the highest probability with which a call counts as one of a repeated
+	// run. It is below 1 because only certain repeats may be refused.
+	maxInherited = 0.99
+	// minFanOut is the mean number of calls per run to a service below which they are ignored.
+	minFanOut = 0.02
+	// maxServices limits the number of services that are tracked.
 	maxServices = 10_000
 )
 
-// Accounts are what one node knows of the requests that start there: those of callers and
-// those of the instance beside it. They are safe for concurrent use.
+// Accounts counts the requests and repeats that start at one node, those of external callers
+// and those of the node's local instance. It is safe for concurrent use.
 type Accounts struct {
 	mutex   sync.Mutex
 	options Options
-	// firstStart says that no process of this node ran before this one.
+	// firstStart is set if no process of this node ran before this one.
 	firstStart bool
-	// began is when the first request came; zero: none did.
-	began    time.Time
-	services map[string]*account
-	// listed is how many instances the node listed, each of which has a node that spends. Its
-	// buckets are as long as the window, as entries may lapse for minutes.
-	listed series
-	// runs are those that the instance beside the node began with.
-	runs series
-	// firsts counts the first sends that the instance works on, repeats the others, by the
-	// calls that they make.
-	firsts, repeats float64
+	// firstRequestAt is when the first request arrived; zero if none did.
+	firstRequestAt time.Time
+	services       map[string]*account
+	// listed is the number of instances that the node lists, each of which has a node that
+	// makes repeats. Its buckets are as long as the window, as entries may be missing for
+	// minutes.
+	listed slidingWindow
+	// runs counts the runs that the local instance has started.
+	runs slidingWindow
+	// activeFirsts is the number of first sends that the instance is processing, and
+	// activeRepeats that of repeats, weighted by the calls that they are expected to make.
+	activeFirsts, activeRepeats float64
 }
 
-// New returns Accounts that have seen nothing.
+// New returns empty Accounts.
 func New(options Options) *Accounts {
 	return &Accounts{options: options, firstStart: options.FirstStart, services: make(map[string]*account)}
 }
 
-// SetOptions changes the bound. A changed window begins anew.
+// SetOptions changes the bound. If the window changes, all counts are reset.
 func (a *Accounts) SetOptions(options Options) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if options.Window != a.options.Window {
-		a.services, a.listed, a.runs, a.began = make(map[string]*account), series{}, series{}, time.Time{}
+		a.services, a.listed, a.runs, a.firstRequestAt = make(map[string]*account), slidingWindow{}, slidingWindow{}, time.Time{}
 	}
 	a.options = options
 }
 
-// Listed notes how many instances the node lists now.
+// Listed records how many instances the node lists now.
 func (a *Accounts) Listed(instances int, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.listed.advance(windowOf(now, a.options.Window))
-	a.listed.raise(float64(instances))
+	a.listed.raiseTo(float64(instances))
 }
 
-// Request notes a request for a service that starts at this node. isCall says that the
-// instance beside the node sent it, or may have. The result is the probability, from 0 to
-// 1, that it is a call of a run that was a repeat itself.
+// Request records a request for a service that starts at this node. isCall is set if the
+// local instance sent it or may have sent it. The result is the probability, from 0 to 1,
+// that the request is a call made by a repeated run.
 func (a *Accounts) Request(service string, isCall bool, now time.Time) (inherited float64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	found := a.of(service, now)
-	if a.began.IsZero() {
-		a.began = now
+	found := a.accountOf(service, now)
+	if a.firstRequestAt.IsZero() {
+		a.firstRequestAt = now
 	}
 	if isCall {
 		inherited = a.repeatShare()
@@ -105,37 +108,37 @@
 	return inherited
 }
 
-// Repeat takes a send beyond the first to a service, if the node's part of the bound
-// allows it.
+// Repeat reports whether the node's part of the bound allows a further send of a request to
+// a service, and counts the send if it does.
 func (a *Accounts) Repeat(service string, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	found := a.of(service, now)
-	if found.repeats.most()+1 > a.allowed(found, now) {
+	found := a.accountOf(service, now)
+	if found.repeats.upperSum()+1 > a.allowed(found, now) {
 		return false
 	}
 	found.repeats.add(1)
 	return true
 }
 
-// Return gives a repeat back that reached no instance.
+// Return returns a repeat that reached no instance to the budget.
 func (a *Accounts) Return(service string, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.of(service, now).repeats.add(-1)
+	a.accountOf(service, now).repeats.add(-1)
 }
 
-// State tells how many repeats were spent on a service in the window that ends now, and
+// State returns how many repeats were made for a service in the window that ends now, and
 // how many are allowed.
 func (a *Accounts) State(service string, now time.Time) (spent, allowed float64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	found := a.of(service, now)
-	return found.repeats.most(), a.allowed(found, now)
+	found := a.accountOf(service, now)
+	return found.repeats.upperSum(), a.allowed(found, now)
 }
 
-// of returns the account of a service as of now. The mutex is held.
-func (a *Accounts) of(service string, now time.Time) *account {
+// accountOf returns the account of a service as of now. The caller must hold the mutex.
+func (a *Accounts) accountOf(service string, now time.Time) *account {
 	found := a.services[service]
 	if found == nil {
 		if len(a.services) >= maxServices {
@@ -148,20 +151,20 @@
 	return found
 }
 
-// allowed is this node's part of the bound. The mutex is held.
+// allowed returns this node's part of the bound. The caller must hold the mutex.
 func (a *Accounts) allowed(found *account, now time.Time) float64 {
-	return Share * (a.options.Ratio*found.requests.least() + a.slack(now))
+	return UsableShare * (a.options.Ratio*found.requests.lowerSum() + a.slack(now))
 }
 
-// slack is this node's part of the slack. A process that starts doesn't know what the one
-// before it spent, which may have been all of it: it has none for a window. The divisor is
-// the greatest number of instances that were listed lately, as entries lapse while their
-// nodes spend on. The mutex is held.
+// slack returns this node's part of the slack. A new process does not know how much of it the
+// process before used, which may be all, and therefore has none for the first window. The
+// divisor is the highest recent number of listed instances, because a node continues to make
+// repeats while the entry of its instance is missing. The caller must hold the mutex.
 func (a *Accounts) slack(now time.Time) float64 {
-	old := !a.began.IsZero() && now.Sub(a.began) >= a.options.Window
-	if !old && !a.firstStart {
+	windowPassed := !a.firstRequestAt.IsZero() && now.Sub(a.firstRequestAt) >= a.options.Window
+	if !windowPassed && !a.firstStart {
 		return 0
 	}
 	a.listed.advance(windowOf(now, a.options.Window))
-	return a.options.Slack / max(a.listed.greatest(), 1)
+	return a.options.Slack / max(a.listed.maximum(), 1)
 }
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -13,13 +13,13 @@
 
 var bound = budget.Options{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
 
-// steady is the share of the slack that a node uses which has run for a window.
-const steady = budget.Share
+// steady is the share of the slack that a node uses after its first window.
+const steady = budget.UsableShare
 
-// repeated is a request that failed at an instance before.
-var repeated = budget.Again{Probability: 1, Failed: true}
+// repeated describes a request that failed at an instance before.
+var repeated = budget.Repetition{Probability: 1, Failed: true}
 
-// spend counts the repeats that a node may make at a moment.
+// spend makes repeats until no more are allowed, and returns their number.
 func spend(a *budget.Accounts, now time.Time) (repeats int) {
 	for a.Repeat(service, now) {
 		repeats++
@@ -27,7 +27,8 @@
 	return repeats
 }
 
-// warm returns the accounts of a node that has run for a window among so many.
+// warm returns the accounts of a node that has run for longer than a window in a fleet of
+// the given number of nodes.
 func warm(options budget.Options, nodes int, now time.Time) *budget.Accounts {
 	a := budget.New(options)
 	a.Request(service, false, now.Add(-3*options.Window))
@@ -35,9 +36,9 @@
 	return a
 }
 
-// TestNodesTogetherStayBelow: whatever share of the requests each node has, all of
-// them together spend no more than the fleet may.
-func TestNodesTogetherStayBelow(t *testing.T) {
+// TestNodesTogetherKeepTheBound checks that the nodes together make no more repeats than the
+// fleet may, however the requests are distributed among them.
+func TestNodesTogetherKeepTheBound(t *testing.T) {
 	now := time.Now()
 	requests, repeats := 0, 0
 	for node := range 12 {
@@ -53,7 +54,7 @@
 	qt.Check(t, repeats > 0, qt.IsTrue)
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestCountsExpire(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	a := warm(bound, 12, now)
@@ -67,9 +68,9 @@
 	c.Check(spend(a, now.Add(time.Hour)), qt.Equals, int(steady*bound.Slack/12))
 }
 
-// TestWindowHoldsToItsEnd: what was spent counts for the whole window, wherever in a
-// bucket it was; the requests of a bucket that is half over don't count beyond it.
-func TestWindowHoldsToItsEnd(t *testing.T) {
+// TestCountsLastOneWindow checks that repeats count for the whole window, wherever within a
+// bucket they were made, and that requests do not count for longer than the window.
+func TestCountsLastOneWindow(t *testing.T) {
 	c := qt.New(t)
 	for offset := range 25 {
 		now := time.Now().Add(time.Duration(offset) * 40 * time.Millisecond)
@@ -84,15 +85,15 @@
 	}
 }
 
-// TestProcessThatStartsHasNoSlack: it doesn't know what the one before it spent, unless
-// there was none.
-func TestProcessThatStartsHasNoSlack(t *testing.T) {
+// TestRestartedProcessHasNoSlack checks that a process has no slack for its first window, as
+// it does not know how much the process before used, unless there was none.
+func TestRestartedProcessHasNoSlack(t *testing.T) {
 	for name, row := range map[string]struct {
 		firstStart bool
 		want       int
 	}{
-		"again":              {false, 0},
-		"for the first time": {true, int(steady * bound.Slack)},
+		"restart":     {false, 0},
+		"first start": {true, int(steady * bound.Slack)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -109,16 +110,16 @@
 	}
 }
 
-// TestLapsedEntriesDoNotAddSlack: the nodes beside instances that are not listed for a
-// while spend on.
-func TestLapsedEntriesDoNotAddSlack(t *testing.T) {
+// TestMissingEntriesDoNotAddSlack guards against a larger part of the slack while instances
+// are not listed, as their nodes continue to make repeats.
+func TestMissingEntriesDoNotAddSlack(t *testing.T) {
 	now := time.Now()
 	a := warm(bound, 12, now)
 	a.Listed(1, now.Add(time.Second))
 	qt.Check(t, spend(a, now.Add(time.Second)), qt.Equals, int(steady*bound.Slack/12))
 }
 
-func TestReturnedRepeatsCountNotAsSpent(t *testing.T) {
+func TestReturnedRepeatsDoNotCount(t *testing.T) {
 	now := time.Now()
 	a := warm(bound, 12, now)
 	first := spend(a, now)
@@ -127,14 +128,15 @@
 	qt.Check(t, spend(a, now), qt.Equals, 1)
 }
 
-// TestCallsOfRepeatedRuns: they are taken from the bound of the service that is called when
-// the run begins, and a run whose calls don't fit is not admitted.
+// TestCallsOfRepeatedRuns checks that the calls of a repeated run are charged to the bound of
+// the called service when the run begins, and that a run whose calls do not fit is not
+// admitted.
 func TestCallsOfRepeatedRuns(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	a := warm(bound, 12, now) // 4 of 60
+	a := warm(bound, 12, now) // a slack of 4 of 60
 	for range 10 {
-		run, admitted := a.Begin(budget.Again{}, now)
+		run, admitted := a.Begin(budget.Repetition{}, now)
 		c.Assert(admitted, qt.IsTrue)
 		c.Assert(a.Request(service, true, now), qt.Equals, 0.0)
 		run.End()
@@ -145,7 +147,7 @@
 	for a.Fits(repeated, now) {
 		run, admitted := a.Begin(repeated, now)
 		c.Assert(admitted, qt.IsTrue)
-		c.Check(a.Request(service, true, now), qt.Equals, 0.99) // nothing else runs
+		c.Check(a.Request(service, true, now), qt.Equals, 0.99) // no other run is in progress
 		run.End()
 		repeats++
 	}
@@ -154,18 +156,18 @@
 	c.Check(spent <= allowed, qt.IsTrue)
 	_, admitted := a.Begin(repeated, now)
 	c.Check(admitted, qt.IsFalse)
-	_, admitted = a.Begin(budget.Again{Probability: 0.99, Failed: true}, now) // it may be a first send
+	_, admitted = a.Begin(budget.Repetition{Probability: 0.99, Failed: true}, now) // it may be a first send
 	c.Check(admitted, qt.IsTrue)
 }
 
-// TestCallsInherit: a call is one of a repeated run as probably as such runs are among
-// those in progress, counted by the calls that they make.
+// TestCallsInherit checks that the probability with which a call is one of a repeated run is
+// the share of such runs among those in progress, weighted by the calls that they make.
 func TestCallsInherit(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	a := budget.New(bound)
 	for range 6 {
-		_, _ = a.Begin(budget.Again{}, now)
+		_, _ = a.Begin(budget.Repetition{}, now)
 	}
 	run, _ := a.Begin(repeated, now)
 	c.Check(a.Request(service, true, now), qt.Equals, 0.25)
--- a/internal/dataplane/budget/fleet_test.go
+++ b/internal/dataplane/budget/fleet_test.go
@@ -14,47 +14,47 @@
 	"github.com/winchhead/winchhead/internal/dataplane/budget"
 )
 
-// A fleet in virtual time: each node stands beside one instance, services call each other
-// three deep, and the nodes spend what the package lets them. judge counts as the users'
-// bound does.
+// A simulation of a fleet in virtual time: each node has one instance, services call each
+// other in a chain of three, and the nodes make as many repeats as the package allows.
+// Package repeatjudge checks the sends against the bound.
 
-// graph is the services, each of which calls the next.
+// graph lists the services, each of which calls the next.
 var graph = []string{"first", "second", "third"}
 
-// fleetPlan is what happens to a fleet.
+// fleetPlan describes what happens to a fleet.
 type fleetPlan struct {
 	Nodes     int
-	PerSecond float64 // requests of clients at one node
-	Calls     int     // that a run makes
-	CallShare float64 // of the runs that call
-	// Ends are the shares of the arrivals that end in each way, by service, in the troubled
-	// seconds.
-	Ends [3]ends
-	// Restarts is the time between two nodes that start again; zero: none.
+	PerSecond float64 // client requests per second at one node
+	Calls     int     // number of calls of a run that makes calls
+	CallShare float64 // share of runs that make calls
+	// Failures holds, by service, the shares of requests that fail in each way during the
+	// trouble.
+	Failures [3]failureShares
+	// Restarts is the time between two restarts of nodes; zero means none.
 	Restarts time.Duration
-	// Listed is the share of the instances that nodes list in the troubled seconds.
+	// Listed is the share of the instances that nodes list during the trouble.
 	Listed float64
 	Seed   uint64
 }
 
-type ends struct{ Rejected, Lost, Failed float64 }
+type failureShares struct{ Rejected, Lost, Failed float64 }
 
 const (
-	fleetCalm    = 3 * time.Second
-	fleetTrouble = 12 * time.Second
-	fleetEnd     = 18 * time.Second
-	runTime      = 100 * time.Millisecond
-	mostSends    = 4
-	window       = 10 * time.Second
+	fleetTroubleStart = 3 * time.Second
+	fleetTroubleEnd   = 12 * time.Second
+	fleetEnd          = 18 * time.Second
+	runTime           = 100 * time.Millisecond
+	maxSends          = 4
+	window            = 10 * time.Second
 )
 
-// fleetNode is one node: the service of the instance beside it, and its accounts.
+// fleetNode is one node with the service of its instance and its accounts.
 type fleetNode struct {
 	service  int
 	accounts *budget.Accounts
 }
 
-// fleet plays a plan.
+// fleet simulates a plan.
 type fleet struct {
 	plan    fleetPlan
 	random  *rand.Rand
@@ -62,19 +62,19 @@
 	now     time.Time
 	events  eventHeap
 	nodes   []*fleetNode
-	beside  [3][]*fleetNode
+	nodesOf [3][]*fleetNode
 	seen    [3]repeatjudge.Seen
 	repeats int
 }
 
-func playFleet(plan fleetPlan) *fleet {
+func simulateFleet(plan fleetPlan) *fleet {
 	began := time.Now()
 	f := &fleet{plan: plan, random: rand.New(rand.NewPCG(plan.Seed, 1)), began: began, now: began}
 	for i := range plan.Nodes {
 		node := &fleetNode{service: i % len(graph)}
 		node.start()
 		f.nodes = append(f.nodes, node)
-		f.beside[node.service] = append(f.beside[node.service], node)
+		f.nodesOf[node.service] = append(f.nodesOf[node.service], node)
 		f.after(f.pause(), func() { f.client(node) })
 	}
 	if plan.Restarts > 0 {
@@ -90,17 +90,17 @@
 	return f
 }
 
-// start empties the node's accounts, as a process that starts does.
+// start resets the node's accounts, as a new process does.
 func (n *fleetNode) start() { n.accounts = budget.New(fleetBound) }
 
 var fleetBound = budget.Options{Ratio: 0.2, Slack: 62, Window: window}
 
-// pause is the time to a client's next request.
+// pause returns the time until a client's next request.
 func (f *fleet) pause() time.Duration {
 	return time.Duration(f.random.ExpFloat64() / f.plan.PerSecond * float64(time.Second))
 }
 
-// client sends the next request at a node, for the first service mostly.
+// client sends the next request at a node, mostly to the first service.
 func (f *fleet) client(node *fleetNode) {
 	f.after(f.pause(), func() { f.client(node) })
 	service := 0
@@ -117,10 +117,10 @@
 
 func (f *fleet) troubled() bool {
 	since := f.now.Sub(f.began)
-	return since >= fleetCalm && since < fleetTrouble
+	return since >= fleetTroubleStart && since < fleetTroubleEnd
 }
 
-// listed is how many instances a node lists now.
+// listed returns how many instances a node lists now.
 func (f *fleet) listed() int {
 	if f.troubled() {
 		return max(int(f.plan.Listed*float64(f.plan.Nodes)), 1)
@@ -128,21 +128,21 @@
 	return f.plan.Nodes
 }
 
-// request takes a request at a node. isCall says that the instance beside it sends it,
-// ofRepeat that a repeated run does; the latter only the judge knows.
+// request starts a request at a node. isCall is set if the node's instance sends it, ofRepeat
+// if a repeated run does. The nodes do not know ofRepeat; it is only used to count repeats.
 func (f *fleet) request(node *fleetNode, service int, isCall, ofRepeat bool, done func(ok bool)) {
 	f.seen[service].Requests = append(f.seen[service].Requests, f.now.Sub(f.began))
 	node.accounts.Listed(f.listed(), f.now)
 	inherited := node.accounts.Request(graph[service], isCall, f.now)
-	f.send(node, service, 0, budget.Again{Probability: inherited}, ofRepeat, done)
+	f.send(node, service, 0, budget.Repetition{Probability: inherited}, ofRepeat, done)
 }
 
-// send brings a request to an instance, again while that is allowed. believed is what the
-// node knows of its being a repeat.
-func (f *fleet) send(node *fleetNode, service, sends int, believed budget.Again, ofRepeat bool, done func(ok bool)) {
-	at := f.beside[service][f.random.IntN(len(f.beside[service]))]
+// send sends a request to an instance, and again while that is allowed. believed is what the
+// node knows about the request being a repeat.
+func (f *fleet) send(node *fleetNode, service, sends int, believed budget.Repetition, ofRepeat bool, done func(ok bool)) {
+	at := f.nodesOf[service][f.random.IntN(len(f.nodesOf[service]))]
 	repeat := ofRepeat || sends > 0
-	if sends > 0 && !at.accounts.Fits(believed, f.now) { // refused beside the instance
+	if sends > 0 && !at.accounts.Fits(believed, f.now) { // refused by the instance's node
 		node.accounts.Return(graph[service], f.now)
 		done(false)
 		return
@@ -151,19 +151,19 @@
 		f.seen[service].Beyond = append(f.seen[service].Beyond, f.now.Sub(f.began))
 		f.repeats++
 	}
-	again := func(failed bool) {
-		if sends+1 < mostSends && node.accounts.Repeat(graph[service], f.now) {
-			f.send(node, service, sends+1, budget.Again{Probability: 1, Failed: failed}, ofRepeat, done)
+	retry := func(failed bool) {
+		if sends+1 < maxSends && node.accounts.Repeat(graph[service], f.now) {
+			f.send(node, service, sends+1, budget.Repetition{Probability: 1, Failed: failed}, ofRepeat, done)
 			return
 		}
 		done(false)
 	}
-	var ending ends
+	var failures failureShares
 	if f.troubled() {
-		ending = f.plan.Ends[service]
+		failures = f.plan.Failures[service]
 	}
-	if f.random.Float64() < ending.Rejected {
-		f.after(time.Millisecond, func() { again(false) })
+	if f.random.Float64() < failures.Rejected {
+		f.after(time.Millisecond, func() { retry(false) })
 		return
 	}
 	run, _ := at.accounts.Begin(believed, f.now)
@@ -171,10 +171,10 @@
 		f.call(at, service, repeat, func(ok bool) {
 			f.after(runTime/2, func() {
 				run.End()
-				lost := f.random.Float64() < ending.Lost
-				failed := !ok || f.random.Float64() < ending.Failed
+				lost := f.random.Float64() < failures.Lost
+				failed := !ok || f.random.Float64() < failures.Failed
 				if lost || failed {
-					again(!lost)
+					retry(!lost)
 					return
 				}
 				done(true)
@@ -183,17 +183,17 @@
 	})
 }
 
-// call makes the calls of a run and tells whether all of them were answered.
+// call makes the calls of a run and reports whether all of them succeeded.
 func (f *fleet) call(at *fleetNode, service int, repeat bool, done func(ok bool)) {
 	if service+1 == len(graph) || f.random.Float64() >= f.plan.CallShare {
 		done(true)
 		return
 	}
-	open, allOK := f.plan.Calls, true
+	pending, allOK := f.plan.Calls, true
 	for range f.plan.Calls {
 		f.request(at, service+1, true, repeat, func(ok bool) {
 			allOK = allOK && ok
-			if open--; open == 0 {
+			if pending--; pending == 0 {
 				done(allOK)
 			}
 		})
@@ -222,7 +222,7 @@
 	heap.Push(&f.events, event{f.now.Add(delay), do})
 }
 
-// check reports each service whose bound was broken.
+// check reports each service whose bound was exceeded.
 func (f *fleet) check(t interface {
 	Errorf(format string, args ...any)
 }) (worst float64) {
@@ -237,10 +237,11 @@
 	return worst
 }
 
-// TestFleetKeepsTheBound: fleets of 13 and 300 nodes in the troubles that the incident had
-// and their neighbours.
+// TestFleetKeepsTheBound guards against a fleet that makes more repeats than the bound allows
+// when instances reject requests, fail or lose answers at one or several services of a chain
+// (docs/incidents/inc-budget.md).
 func TestFleetKeepsTheBound(t *testing.T) {
-	for name, ending := range map[string][3]ends{
+	for name, failures := range map[string][3]failureShares{
 		"rejections at the second":              {1: {Rejected: 0.55}},
 		"rejections at the third":               {2: {Rejected: 0.55}},
 		"answers lost at the first":             {0: {Lost: 0.3}},
@@ -251,8 +252,8 @@
 	} {
 		for nodes, perSecond := range map[int]float64{13: 30, 300: 4} {
 			t.Run(fmt.Sprintf("%s, %d nodes", name, nodes), func(t *testing.T) {
-				played := playFleet(fleetPlan{
-					Nodes: nodes, PerSecond: perSecond, Calls: 2, CallShare: 0.7, Ends: ending,
+				played := simulateFleet(fleetPlan{
+					Nodes: nodes, PerSecond: perSecond, Calls: 2, CallShare: 0.7, Failures: failures,
 					Restarts: 13 * time.Second / time.Duration(nodes), Listed: 0.5, Seed: 7,
 				})
 				t.Logf("worst window: %.2f of the bound, %d repeats", played.check(t), played.repeats)
@@ -260,10 +261,10 @@
 			})
 		}
 	}
-	t.Run("whatever happens", func(t *testing.T) { rapid.Check(t, drawnFleetKeepsTheBound) })
+	t.Run("random plans", func(t *testing.T) { rapid.Check(t, drawnFleetKeepsTheBound) })
 }
 
-// drawnFleetKeepsTheBound plays a plan drawn at random.
+// drawnFleetKeepsTheBound simulates a plan drawn at random.
 func drawnFleetKeepsTheBound(t *rapid.T) {
 	share := func(name string, most float64) float64 { return rapid.Float64Range(0, most).Draw(t, name) }
 	plan := fleetPlan{
@@ -275,8 +276,8 @@
 		Listed:    share("listed", 1),
 		Seed:      rapid.Uint64().Draw(t, "seed"),
 	}
-	for i := range plan.Ends {
-		plan.Ends[i] = ends{share("rejected", 0.7), share("lost", 0.4), share("failed", 0.4)}
+	for i := range plan.Failures {
+		plan.Failures[i] = failureShares{share("rejected", 0.7), share("lost", 0.4), share("failed", 0.4)}
 	}
-	playFleet(plan).check(t)
+	simulateFleet(plan).check(t)
 }
--- a/internal/dataplane/budget/run.go
+++ b/internal/dataplane/budget/run.go
@@ -5,108 +5,110 @@
 	"time"
 )
 
-// Again tells how far a request is a repeat, as its sender knows it.
-type Again struct {
-	// Probability, from 0 to 1, that it is a repeat.
+// Repetition is what the sender of a request knows about it being a repeat.
+type Repetition struct {
+	// Probability is the probability, from 0 to 1, that the request is a repeat.
 	Probability float64
-	// Failed says that an instance answered before that the request failed.
+	// Failed is set if an instance answered before that the request failed.
 	Failed bool
 }
 
-// certain reports whether an instance certainly got the request before.
-func (a Again) certain() bool { return a.Probability >= 1 }
+// certain reports whether an instance has certainly received the request before.
+func (r Repetition) certain() bool { return r.Probability >= 1 }
 
-// calls is what the run is expected to call again, as a multiple of the mean of all runs.
-func (a Again) calls() float64 {
-	if a.Failed {
-		return callsAfterFailure * a.Probability
+// callFactor returns how many calls the run is expected to repeat, as a multiple of the mean
+// number of calls of all runs.
+func (r Repetition) callFactor() float64 {
+	if r.Failed {
+		return failedCallFactor * r.Probability
 	}
-	return a.Probability
+	return r.Probability
 }
 
-// Run is one request that the instance beside the node works on.
+// Run is one request that the local instance is processing.
 type Run struct {
-	accounts       *Accounts
-	first, repeats float64
-	once           sync.Once
+	accounts                  *Accounts
+	firstWeight, repeatWeight float64
+	once                      sync.Once
 }
 
-// Fits reports whether the calls of a run that is a repeat would be within this node's part of the
-// bound of each service that runs of the instance call.
-func (a *Accounts) Fits(again Again, now time.Time) bool {
+// Fits reports whether the calls of a repeated run would stay within this node's part of the
+// bound of each service that the instance calls.
+func (a *Accounts) Fits(repetition Repetition, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.runs.advance(bucketOf(now, a.options.Window))
-	return a.fits(again, now)
+	return a.fits(repetition, now)
 }
 
-// Begin notes a request that goes to the instance beside the node. The calls that it will
-// make count as repeats as far as it is one. One that certainly is a repeat is not admitted
-// when its calls don't fit; any other is.
-func (a *Accounts) Begin(again Again, now time.Time) (run *Run, admitted bool) {
+// Begin records a request that is sent to the local instance. The calls that it will make
+// count as repeats in proportion to the probability that it is one. A certain repeat is not
+// admitted if its calls do not fit; any other request is.
+func (a *Accounts) Begin(repetition Repetition, now time.Time) (run *Run, admitted bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.runs.advance(bucketOf(now, a.options.Window))
-	if again.certain() && !a.fits(again, now) {
+	if repetition.certain() && !a.fits(repetition, now) {
 		return nil, false
 	}
-	if again.Probability > 0 {
-		a.charge(again, now)
+	if repetition.Probability > 0 {
+		a.charge(repetition, now)
 	}
 	a.runs.add(1)
-	run = &Run{accounts: a, first: 1 - again.Probability, repeats: again.calls()}
-	a.firsts += run.first
-	a.repeats += run.repeats
+	run = &Run{accounts: a, firstWeight: 1 - repetition.Probability, repeatWeight: repetition.callFactor()}
+	a.activeFirsts += run.firstWeight
+	a.activeRepeats += run.repeatWeight
 	return run, true
 }
 
-// End notes that the instance has ended with the request.
+// End records that the instance has finished processing the request.
 func (r *Run) End() {
 	r.once.Do(func() {
 		r.accounts.mutex.Lock()
 		defer r.accounts.mutex.Unlock()
-		r.accounts.firsts -= r.first
-		r.accounts.repeats -= r.repeats
+		r.accounts.activeFirsts -= r.firstWeight
+		r.accounts.activeRepeats -= r.repeatWeight
 	})
 }
 
-// fits is Fits for the buckets as they are. The mutex is held.
-func (a *Accounts) fits(again Again, now time.Time) bool {
+// fits implements Fits for the current buckets. The caller must hold the mutex.
+func (a *Accounts) fits(repetition Repetition, now time.Time) bool {
 	for service := range a.services {
-		found := a.of(service, now)
-		if calls := a.fanOut(found); calls > 0 && found.repeats.most()+again.calls()*calls > a.allowed(found, now) {
+		found := a.accountOf(service, now)
+		if calls := a.fanOut(found); calls > 0 && found.repeats.upperSum()+repetition.callFactor()*calls > a.allowed(found, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// charge takes the calls of a run as far as it is a repeat. The mutex is held.
-func (a *Accounts) charge(again Again, now time.Time) {
+// charge counts the expected calls of a run as repeats, in proportion to the probability
+// that it is one. The caller must hold the mutex.
+func (a *Accounts) charge(repetition Repetition, now time.Time) {
 	for service := range a.services {
-		found := a.of(service, now)
+		found := a.accountOf(service, now)
 		if calls := a.fanOut(found); calls > 0 {
-			found.repeats.add(again.calls() * calls)
+			found.repeats.add(repetition.callFactor() * calls)
 		}
 	}
 }
 
-// fanOut is how many calls to a service a run of the instance makes in the mean. The mutex
-// is held.
+// fanOut returns the mean number of calls to a service per run of the instance. The caller
+// must hold the mutex.
 func (a *Accounts) fanOut(found *account) float64 {
-	calls := found.calls.most() / max(a.runs.most(), 1)
-	if calls < leastFanOut {
+	calls := found.calls.upperSum() / max(a.runs.upperSum(), 1)
+	if calls < minFanOut {
 		return 0
 	}
 	return calls
 }
 
-// repeatShare is the probability that a call which the instance makes now is one of a
-// repeated run. The mutex is held.
+// repeatShare returns the probability that a call which the instance makes now is one of a
+// repeated run. The caller must hold the mutex.
 func (a *Accounts) repeatShare() float64 {
-	const none = 1e-6 // what is left of sums that rounding keeps from zero
-	if a.repeats < none {
+	const epsilon = 1e-6 // covers the rounding errors of a sum that is zero
+	if a.activeRepeats < epsilon {
 		return 0
 	}
-	return min(a.repeats/(a.repeats+max(a.firsts, 0)), mostInherited)
+	return min(a.activeRepeats/(a.activeRepeats+max(a.activeFirsts, 0)), maxInherited)
 }
--- a/internal/dataplane/coldstart/limit.go
+++ b/internal/dataplane/coldstart/limit.go
@@ -1,5 +1,5 @@
-// Package coldstart tracks when an instance is cold after its start, and limits the rate
-// of requests to it meanwhile: a cold instance that is overloaded crashes, starts again
+// Package coldstart tracks how long an instance is cold after its start and limits the rate
+// of requests to it during that time. A cold instance that is overloaded crashes, restarts
 // and is cold again.
 package coldstart
 
@@ -10,28 +10,29 @@
 
 // Bounds limit the requests to a cold instance.
 type Bounds struct {
-	// Rate is the sustained rate, in requests a second; zero: not limited.
+	// Rate is the sustained rate in requests per second; zero means no limit.
 	Rate float64
-	// Burst is how many requests may begin at once. No second has more than Burst + Rate.
+	// Burst is the number of requests that may start at once. No second has more than
+	// Burst + Rate.
 	Burst float64
 }
 
-// Limit is a token bucket that counts all requests of an instance and holds them back
-// while the instance is cold. A new Limit starts empty: what an earlier process sent in
-// the second before is not known, so that a restart never doubles the burst. It is safe
-// for concurrent use.
+// Limit is a token bucket that counts all requests to an instance and limits their rate
+// while the instance is cold. A new Limit starts empty, because it is not known what an
+// earlier process sent in the second before: a restart never doubles the burst. Limit is
+// safe for concurrent use.
 type Limit struct {
-	mutex     sync.Mutex
-	bounds    Bounds
-	until     time.Time
-	tokens    float64
-	countedAt time.Time
+	mutex      sync.Mutex
+	bounds     Bounds
+	until      time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
-// NewLimit returns an empty Limit that holds nothing back.
-func NewLimit(now time.Time) *Limit { return &Limit{countedAt: now} }
+// NewLimit returns an empty Limit without bounds.
+func NewLimit(now time.Time) *Limit { return &Limit{refilledAt: now} }
 
-// Set changes the bounds, and until when the instance is cold.
+// Set changes the bounds and the time until which the instance is cold.
 func (l *Limit) Set(bounds Bounds, until, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -40,20 +41,20 @@
 	l.tokens = min(l.tokens, l.bounds.Burst)
 }
 
-// ColdFor is how much longer the instance is cold.
+// ColdFor returns the remaining time for which the instance is cold.
 func (l *Limit) ColdFor(now time.Time) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return max(l.until.Sub(now), 0)
 }
 
-// Begin counts a request that begins now. When it may not, nothing is counted, and the
-// result is the time until the next one may.
+// Begin counts a request that starts now and returns zero. If the request may not start, it
+// counts nothing and returns the time until the next one may.
 func (l *Limit) Begin(now time.Time) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.refill(now)
-	if !l.holdsBack(now) {
+	if !l.isLimiting(now) {
 		l.tokens = max(l.tokens-1, 0)
 		return 0
 	}
@@ -64,37 +65,38 @@
 	return l.delay(0, now)
 }
 
-// Delay is the time until a request may begin that has so many before it.
+// Delay returns the time until a request may start that is preceded by the given number of
+// others.
 func (l *Limit) Delay(before int, now time.Time) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.refill(now)
-	if !l.holdsBack(now) {
+	if !l.isLimiting(now) {
 		return 0
 	}
 	return l.delay(before, now)
 }
 
-// holdsBack reports whether requests are bounded. The mutex is held.
-func (l *Limit) holdsBack(now time.Time) bool { return l.bounds.Rate > 0 && l.until.After(now) }
+// isLimiting reports whether the limit is in force. The caller must hold the mutex.
+func (l *Limit) isLimiting(now time.Time) bool { return l.bounds.Rate > 0 && l.until.After(now) }
 
-// delay is Delay while requests are bounded. The mutex is held.
+// delay implements Delay while the limit is in force. The caller must hold the mutex.
 func (l *Limit) delay(before int, now time.Time) time.Duration {
 	missing := float64(before+1) - l.tokens
 	if missing <= 0 {
 		return 0
 	}
-	// Rounded up, so that the token is there when the time is over.
+	// Rounded up, so that the token is available once the time has passed.
 	wait := time.Duration(missing/l.bounds.Rate*float64(time.Second)) + time.Microsecond
 	return min(wait, l.until.Sub(now))
 }
 
-// refill adds the tokens of the time since they were last counted. The mutex is held.
+// refill adds the tokens for the time since the last refill. The caller must hold the mutex.
 func (l *Limit) refill(now time.Time) {
-	passed := now.Sub(l.countedAt)
-	if passed <= 0 {
+	elapsed := now.Sub(l.refilledAt)
+	if elapsed <= 0 {
 		return
 	}
-	l.tokens = min(l.tokens+passed.Seconds()*l.bounds.Rate, l.bounds.Burst)
-	l.countedAt = now
+	l.tokens = min(l.tokens+elapsed.Seconds()*l.bounds.Rate, l.bounds.Burst)
+	l.refilledAt = now
 }
--- a/internal/dataplane/coldstart/limit_test.go
+++ b/internal/dataplane/coldstart/limit_test.go
@@ -13,9 +13,9 @@
 
 var epoch = time.Unix(1000, 0)
 
-// TestNoSecondHoldsTooMany: whatever the bursts, the restarts of the node and the changes
-// of the entry, no second holds more requests to a cold instance than it bears.
-func TestNoSecondHoldsTooMany(t *testing.T) {
+// TestNoSecondExceedsTheBounds checks that with any bursts, node restarts and changes of the
+// instance's entry, no second has more requests to a cold instance than the bounds allow.
+func TestNoSecondExceedsTheBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := coldstart.Bounds{
 			Rate:  rapid.Float64Range(0.5, 30).Draw(t, "rate"),
@@ -26,8 +26,8 @@
 		limit.Set(bounds, coldUntil, now)
 		var begun []time.Time // while cold
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "pause")))
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			now = now.Add(time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "interval")))
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0: // the node restarts
 				limit = coldstart.NewLimit(now)
 				limit.Set(bounds, coldUntil, now)
@@ -42,20 +42,21 @@
 				}
 			}
 		}
-		most := bounds.Rate + bounds.Burst
+		maxRequests := bounds.Rate + bounds.Burst
 		for first := range begun {
 			last := first
 			for last < len(begun) && begun[last].Before(begun[first].Add(time.Second)) {
 				last++
 			}
-			if float64(last-first) > most {
-				t.Fatalf("%d requests in the second from %s, at most %.2f are borne", last-first, begun[first], most)
+			if float64(last-first) > maxRequests {
+				t.Fatalf("%d requests in the second from %s, at most %.2f are allowed", last-first, begun[first], maxRequests)
 			}
 		}
 	})
 }
 
-// TestDelayIsKept: who comes back after the time that was named may begin.
+// TestDelayIsKept checks that a request may start once the delay that was returned for it
+// has passed.
 func TestDelayIsKept(t *testing.T) {
 	c := qt.New(t)
 	limit := coldstart.NewLimit(epoch)
@@ -66,9 +67,9 @@
 	c.Check(limit.Delay(2, epoch.Add(delay)) > limit.Delay(0, epoch.Add(delay)), qt.IsTrue)
 }
 
-// TestWarmInstanceIsNotBounded: the limit ends with the cold, and a service that names no
-// rate has none.
-func TestWarmInstanceIsNotBounded(t *testing.T) {
+// TestWarmInstanceIsNotLimited checks that the limit ends once the instance is warm, and
+// that a service without a cold rate has no limit.
+func TestWarmInstanceIsNotLimited(t *testing.T) {
 	c := qt.New(t)
 	limit := coldstart.NewLimit(epoch)
 	limit.Set(coldstart.Bounds{Rate: 1, Burst: 1}, epoch.Add(100*time.Millisecond), epoch)
@@ -81,23 +82,23 @@
 	c.Check(limit.Begin(warm), qt.Equals, time.Duration(0))
 }
 
-// TestPhaseFollowsTheEntry: the time that is left counts from the change of the entry, not
-// from each look at it; another instance at the place counts anew.
+// TestPhaseFollowsTheEntry checks that the remaining time of an entry counts from the change
+// of the entry rather than from each update, and restarts with another instance.
 func TestPhaseFollowsTheEntry(t *testing.T) {
 	c := qt.New(t)
 	var phase coldstart.Phase
 	phase.Follow(snapshot.Instance{Name: "i-1", WarmUpMillis: 3000}, epoch)
 	phase.Follow(snapshot.Instance{Name: "i-1", WarmUpMillis: 3000}, epoch.Add(2*time.Second))
 	c.Check(phase.Until(), qt.Equals, epoch.Add(3*time.Second))
-	phase.Follow(snapshot.Instance{Name: "i-1", WarmUpMillis: 5000}, epoch.Add(2*time.Second)) // cold for longer than was said
+	phase.Follow(snapshot.Instance{Name: "i-1", WarmUpMillis: 5000}, epoch.Add(2*time.Second)) // cold for longer than before
 	c.Check(phase.Until(), qt.Equals, epoch.Add(7*time.Second))
 	phase.Follow(snapshot.Instance{Name: "i-1"}, epoch.Add(4*time.Second))
 	c.Check(phase.Until(), qt.Equals, time.Time{})
-	phase.Presume(time.Second, epoch.Add(5*time.Second))
+	phase.AssumeCold(time.Second, epoch.Add(5*time.Second))
 	c.Check(phase.Until(), qt.Equals, epoch.Add(6*time.Second))
 	phase.Follow(snapshot.Instance{Name: "i-2"}, epoch.Add(5*time.Second))
 	c.Check(phase.Until(), qt.Equals, time.Time{})
 	phase.Follow(snapshot.Instance{Name: "i-2", Born: 1, WarmUpMillis: 3000}, epoch.Add(6*time.Second))
-	phase.Follow(snapshot.Instance{Name: "i-2", Born: 2, WarmUpMillis: 3000}, epoch.Add(20*time.Second)) // it started again
+	phase.Follow(snapshot.Instance{Name: "i-2", Born: 2, WarmUpMillis: 3000}, epoch.Add(20*time.Second)) // the instance restarted
 	c.Check(phase.Until(), qt.Equals, epoch.Add(23*time.Second))
 }
--- a/internal/dataplane/coldstart/phase.go
+++ b/internal/dataplane/coldstart/phase.go
@@ -6,32 +6,33 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// Phase tells until when an instance is cold, by what its list entry says. An entry
-// names the time that is left; it counts from the moment at which it was first seen,
-// which is a little later than it was written and so on the safe side.
+// Phase tracks until when an instance is cold, based on its entry in the configuration. An
+// entry states the remaining time. It counts from when the entry was first seen, which is
+// slightly after it was written and therefore errs on the safe side.
 type Phase struct {
-	life   snapshot.Life
-	listed time.Duration
-	until  time.Time
+	life            snapshot.Life
+	listedRemaining time.Duration
+	until           time.Time
 }
 
-// Follow takes over what the entry of an instance says now. Another life is another process
-// at the same place, cold anew even if its entry reads like that of the former one.
+// Follow applies the current entry of an instance. A different life is a new process at the
+// same address, which is cold again even if its entry equals that of the former one.
 func (p *Phase) Follow(instance snapshot.Instance, now time.Time) {
 	remaining := time.Duration(instance.WarmUpMillis) * time.Millisecond
-	if life := instance.Life(); life != p.life || remaining != p.listed {
-		p.life, p.listed, p.until = life, remaining, endOf(remaining, now)
+	if life := instance.Life(); life != p.life || remaining != p.listedRemaining {
+		p.life, p.listedRemaining, p.until = life, remaining, endOf(remaining, now)
 	}
 }
 
-// Until is until when the instance is cold.
+// Until returns the time until which the instance is cold.
 func (p *Phase) Until() time.Time { return p.until }
 
-// Report takes over what the node beside the instance says: how long it is cold yet.
+// Report applies the remaining cold time as reported by the instance's node.
 func (p *Phase) Report(remaining time.Duration, now time.Time) { p.until = endOf(remaining, now) }
 
-// endOf is when a phase ends. A warm instance is cold at no moment: callers read the clock
-// before they wait for their turn, so that a later call can come with an earlier moment.
+// endOf returns the end of a phase, which is the zero time for a warm instance. It must not
+// be now, as callers read the clock before they wait for the mutex: a later call can pass an
+// earlier time, at which the instance would still count as cold.
 func endOf(remaining time.Duration, now time.Time) time.Time {
 	if remaining <= 0 {
 		return time.Time{}
@@ -39,9 +40,9 @@
 	return now.Add(remaining)
 }
 
-// Presume lets the instance count as cold for so long, whatever its entry says; the
-// next change of the entry counts again.
-func (p *Phase) Presume(duration time.Duration, now time.Time) {
+// AssumeCold treats the instance as cold for the given duration, whatever its entry says. The
+// next change of the entry takes precedence again.
+func (p *Phase) AssumeCold(duration time.Duration, now time.Time) {
 	if until := now.Add(duration); until.After(p.until) {
 		p.until = until
 	}
--- a/internal/dataplane/inbound/admit.go
+++ b/internal/dataplane/inbound/admit.go
@@ -14,20 +14,20 @@
 	"github.com/winchhead/winchhead/internal/dataplane/transfer"
 )
 
-// Admit decides whether another node may send the body of a request: a large one once
-// the link is free for it, if the request can then still be in time; a small one at
-// once, unless the queue would refuse it. One that is refused
-// has sent nothing of its body and has not run.
+// Admit decides whether another node may send the body of a request. A large body is
+// admitted once the link is free, if the request can then still meet its deadline. A small
+// body is admitted immediately, unless the queue would refuse the request. No part of a
+// refused body has been sent and its request has not been executed.
 func (p *Proxy) Admit(ctx context.Context, request *message.Request, bytes int64) server.Admission {
 	order, err := hop.DecodeOrder(request.Header.Get(hop.Header))
 	if err != nil {
-		return p.notAdmitted(request, Delivery{Report: p.report(hop.Refused, hop.ReasonMalformed), Err: err})
+		return p.refuseAdmission(request, Delivery{Report: p.report(hop.Refused, hop.ReasonMalformed), Err: err})
 	}
-	if p.leaves(request.Arrived.Add(order.Remaining)) {
-		return p.notAdmitted(request, p.refuse(hop.ReasonDraining, 0))
+	if p.stopsBefore(request.Arrived.Add(order.Remaining)) {
+		return p.refuseAdmission(request, p.refuse(hop.ReasonDraining, 0))
 	}
-	if reason := p.check(order); reason != hop.ReasonNone {
-		return p.notAdmitted(request, p.refuse(reason, 0))
+	if reason := p.checkTarget(order); reason != hop.ReasonNone {
+		return p.refuseAdmission(request, p.refuse(reason, 0))
 	}
 	if bytes < transfer.LargeBody {
 		return p.admitSmall(request, order)
@@ -36,15 +36,15 @@
 	if refusal != queue.None {
 		delivery := p.refuse(linkReasonOf(refusal), wait)
 		p.log(request, order, delivery)
-		return p.notAdmitted(request, delivery)
+		return p.refuseAdmission(request, delivery)
 	}
-	admission := server.Admission{Done: func(whole bool) {
-		if whole {
+	admission := server.Admission{Done: func(complete bool) {
+		if complete {
 			grant.Received()
 			return
 		}
 		grant.Release()
-		p.logBroken(request, order, bytes)
+		p.logIncompleteBody(request, order, bytes)
 	}}
 	if pace := p.link.Pace(); pace > 0 {
 		admission.Interim = server.Interim(hop.HeaderPace, strconv.FormatInt(pace, 10))
@@ -52,24 +52,24 @@
 	return admission
 }
 
-// admitSmall admits a short body at once, unless the queue would refuse the request now:
-// the body of a refused request then never crosses the link.
+// admitSmall admits a small body immediately, unless the queue would refuse the request
+// now. The body of a refused request is thus never sent over the link.
 func (p *Proxy) admitSmall(request *message.Request, order hop.Order) server.Admission {
-	if refusal, wait := p.queue.Refusal(p.ticketOf(request, order)); refusal != queue.None {
+	if refusal, wait := p.queue.Refusal(p.ticketFor(request, order)); refusal != queue.None {
 		delivery := p.refuse(reasonOf(refusal), wait)
 		p.log(request, order, delivery)
-		return p.notAdmitted(request, delivery)
+		return p.refuseAdmission(request, delivery)
 	}
 	return server.Admission{}
 }
 
-// linkTicket asks for the link. What the request will need after the body leaves less
-// time to wait for it: the body itself, the wait for a slot, and the work.
+// linkTicket returns the ticket with which a request queues for the link. The time to
+// receive the body and to wait for a slot is deducted from the time it may wait.
 func (p *Proxy) linkTicket(request *message.Request, order hop.Order, bytes int64) queue.Ticket {
-	ticket := p.ticketOf(request, order)
-	later := p.link.Duration(bytes) + p.queue.Wait(ticket)
-	ticket.LatestStart = ticket.LatestStart.Add(-later)
-	ticket.MaxWait = max(ticket.MaxWait-later, 0)
+	ticket := p.ticketFor(request, order)
+	afterLink := p.link.Duration(bytes) + p.queue.Wait(ticket)
+	ticket.LatestStart = ticket.LatestStart.Add(-afterLink)
+	ticket.MaxWait = max(ticket.MaxWait-afterLink, 0)
 	return ticket
 }
 
@@ -80,13 +80,13 @@
 	return reasonOf(refusal)
 }
 
-func (p *Proxy) notAdmitted(request *message.Request, delivery Delivery) server.Admission {
-	p.metrics.delivered(delivery.Report)
-	return server.Admission{Refusal: p.answerOf(request, delivery)}
+func (p *Proxy) refuseAdmission(request *message.Request, delivery Delivery) server.Admission {
+	p.metrics.observeDelivery(delivery.Report)
+	return server.Admission{Refusal: p.answerFor(request, delivery)}
 }
 
-// logBroken writes a line about a body that was admitted and did not come whole.
-func (p *Proxy) logBroken(request *message.Request, order hop.Order, bytes int64) {
+// logIncompleteBody logs that an admitted body was not received completely.
+func (p *Proxy) logIncompleteBody(request *message.Request, order hop.Order, bytes int64) {
 	entry, ok := p.lines.Take(true)
 	if !ok {
 		return
@@ -94,5 +94,5 @@
 	entry.WithFields(logrus.Fields{
 		"request": request.ID, "instance": order.Instance, "bytes": bytes,
 		"ms": time.Since(request.Arrived).Milliseconds(), "backlog_ms": p.link.Backlog().Milliseconds(),
-	}).Warn("a body did not come whole; the request has not run")
+	}).Warn("request body was not received completely; the request was not executed")
 }
--- a/internal/dataplane/inbound/check.go
+++ b/internal/dataplane/inbound/check.go
@@ -9,44 +9,45 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// check decides whether the instance that is meant may get the request.
-func (p *Proxy) check(order hop.Order) hop.Reason {
+// checkTarget returns why the request must not be sent to its target instance, or
+// ReasonNone if it may be.
+func (p *Proxy) checkTarget(order hop.Order) hop.Reason {
 	current := p.options.Snapshots.Current()
 	if current == nil {
 		return hop.ReasonUnconfigured
 	}
 	instance, listed := current.Instance(order.Instance)
-	p.cold.follow(current, time.Now())
+	p.cold.update(current, time.Now())
 	switch {
 	case current.IsEvacuated(p.options.Zone):
 		return hop.ReasonEvacuated
 	case !listed && order.Revision > uint64(current.KnowsUpTo(order.Instance)):
-		p.cold.started(order.Instance, current, time.Now())
-		return hop.ReasonNone // the sender knows more; the instance itself checks its name
+		p.cold.noteUnlisted(order.Instance, current, time.Now())
+		return hop.ReasonNone // the sender's configuration is newer; the instance itself checks its name
 	case !listed, instance.State == snapshot.InstanceDraining:
 		return hop.ReasonDraining
-	case instance.Address != p.options.Backend, !current.HoldsAddress(order.Instance), p.ended.has(instance.Life()):
+	case instance.Address != p.options.Backend, !current.HoldsAddress(order.Instance), p.stale.has(instance.Life()):
 		return hop.ReasonWrongInstance
 	}
-	p.follow(instance.Slots)
+	p.updateSlots(instance.Slots)
 	return hop.ReasonNone
 }
 
-// recheck is asked right before the request is sent, as the wait for a slot may
-// have been long.
-func (p *Proxy) recheck(ctx context.Context, request *message.Request, order hop.Order, deadline time.Time) hop.Reason {
+// recheckTarget repeats the check right before the request is sent, as the wait for a
+// slot may have been long.
+func (p *Proxy) recheckTarget(ctx context.Context, request *message.Request, order hop.Order, deadline time.Time) hop.Reason {
 	switch {
 	case ctx.Err() != nil || request.SenderGone():
 		return hop.ReasonCancelled
 	case !deadline.After(time.Now()):
 		return hop.ReasonDeadline
 	default:
-		return p.check(order)
+		return p.checkTarget(order)
 	}
 }
 
-// follow takes over the slots that the instance names.
-func (p *Proxy) follow(slots int) {
+// updateSlots applies the number of slots that the instance's entry specifies.
+func (p *Proxy) updateSlots(slots int) {
 	if slots > 0 && p.slots.Swap(int64(slots)) != int64(slots) {
 		p.queue.SetSlots(slots)
 	}
--- a/internal/dataplane/inbound/check_test.go
+++ b/internal/dataplane/inbound/check_test.go
@@ -17,30 +17,30 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// TestChangesBindTheLastHop: the node beside an instance refuses by what it knows of just that
-// instance, ahead of its document too. A sender whose document is newer than that knows better:
-// the entry may have come back since.
-func TestChangesBindTheLastHop(t *testing.T) {
+// TestLastHopAppliesChanges guards against requests that reach an instance after a change
+// newer than the node's document took it out of service. The change is ignored if the
+// sender's document is newer still, as the instance may have been listed again since.
+func TestLastHopAppliesChanges(t *testing.T) {
 	const backend = "127.0.0.1:1"
 	instance := snapshot.Instance{Name: "i-1", Service: "a", Zone: "z", Address: backend, State: snapshot.InstanceReady}
-	drains := instance
-	drains.State = snapshot.InstanceDraining
+	draining := instance
+	draining.State = snapshot.InstanceDraining
 	document, err := snapshot.NewDocument(snapshot.Content{Revision: 10, Services: []snapshot.Service{{Name: "a"}}, Instances: []snapshot.Instance{instance}})
 	qt.Assert(t, err, qt.IsNil)
 	routed, err := snapshot.New(document.Version(), nil, document.Content().Services, nil)
 	qt.Assert(t, err, qt.IsNil)
 	for name, row := range map[string]struct {
 		change  snapshot.Change
-		sender  uint64 // the revision of its document
+		sender  uint64 // revision of the sender's document
 		refused hop.Reason
 	}{
-		"leaves":                           {snapshot.InstanceChange(12, drains), 10, hop.ReasonDraining},
-		"leaves, the sender's is newer":    {snapshot.InstanceChange(12, drains), 20, hop.ReasonDraining},
-		"gone":                             {snapshot.InstanceGone(12, "i-1"), 10, hop.ReasonDraining},
-		"gone, the sender's is in between": {snapshot.InstanceGone(12, "i-1"), 11, hop.ReasonDraining},
-		"gone, the sender's is newer":      {snapshot.InstanceGone(12, "i-1"), 13, hop.ReasonNone},
-		"evacuated":                        {snapshot.EvacuationChange(12, "z", true), 10, hop.ReasonEvacuated},
-		"another leaves":                   {snapshot.InstanceGone(12, "i-2"), 10, hop.ReasonNone},
+		"draining":                          {snapshot.InstanceChange(12, draining), 10, hop.ReasonDraining},
+		"draining, sender's document newer": {snapshot.InstanceChange(12, draining), 20, hop.ReasonDraining},
+		"removed":                           {snapshot.InstanceGone(12, "i-1"), 10, hop.ReasonDraining},
+		"removed, sender's document newer than the node's": {snapshot.InstanceGone(12, "i-1"), 11, hop.ReasonDraining},
+		"removed, sender's document newer than the change": {snapshot.InstanceGone(12, "i-1"), 13, hop.ReasonNone},
+		"zone evacuated":           {snapshot.EvacuationChange(12, "z", true), 10, hop.ReasonEvacuated},
+		"another instance removed": {snapshot.InstanceGone(12, "i-2"), 10, hop.ReasonNone},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var changes snapshot.Changes
--- a/internal/dataplane/inbound/cold.go
+++ b/internal/dataplane/inbound/cold.go
@@ -8,17 +8,17 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// ColdBounds are the tolerance above the cold rate of a service, as operators set it: in
-// each second the whole fleet may send a cold instance Overage x rate + Slack requests.
+// ColdBounds set by how much the cold rate of a service may be exceeded: in each second the
+// whole fleet may send Overage x rate + Slack requests to a cold instance.
 type ColdBounds struct {
-	// Overage multiplies the rate; below 1 counts as 1.
+	// Overage multiplies the rate. Values below 1 are treated as 1.
 	Overage float64
-	// Slack is added to it, in requests.
+	// Slack is a number of requests that is added to the multiplied rate.
 	Slack float64
 }
 
-// slackMargin is the part of the slack that is left unused, in requests: those that are
-// on their way to the instance may meet in one second.
+// slackMargin is the part of the slack, in requests, that is left unused: requests in
+// flight to the instance may arrive within the same second.
 const slackMargin = 2
 
 // boundsOf returns the bounds for a cold instance of a service.
@@ -29,66 +29,67 @@
 	}
 }
 
-// coldness follows when the instance beside the node is cold. All requests to it pass
-// here, so that the limit is exact for the whole fleet without any agreement.
-type coldness struct {
+// coldTracker tracks whether the local instance is cold. All requests to the instance pass
+// through this node, so the limit is exact for the whole fleet without coordination.
+type coldTracker struct {
 	bounds ColdBounds
-	// backend is the address of the instance, service and zone are those of the node.
+	// backend is the address of the instance; service and zone are those of the node.
 	backend, service, zone string
 	limit                  *coldstart.Limit
 
 	mutex sync.Mutex
 	phase coldstart.Phase
-	// followed is what was in force when the instance was last looked at.
-	followed *snapshot.Snapshot
-	// returns are those of the zone that were seen.
-	returns int
-	// unlisted is the last instance that a sender named before it was listed here.
-	unlisted string
+	// lastSnapshot is the snapshot that was applied last.
+	lastSnapshot *snapshot.Snapshot
+	// zoneReturns is the last known number of times that an evacuation of the zone was ended.
+	zoneReturns int
+	// lastUnlisted is the last instance to which a request was addressed before it was
+	// listed here.
+	lastUnlisted string
 }
 
-func newColdness(options Options) *coldness {
-	return &coldness{
+func newColdTracker(options Options) *coldTracker {
+	return &coldTracker{
 		bounds: options.Cold, backend: options.Backend, service: options.Service, zone: options.Zone,
 		limit: coldstart.NewLimit(time.Now()),
 	}
 }
 
-// follow takes over what the configuration says of the instance. When the evacuation of
-// the zone was taken back, its instances may be cold although their entries do not say
-// so yet.
-func (c *coldness) follow(current *snapshot.Snapshot, now time.Time) {
+// update applies the instance's entry in the current configuration. After the evacuation
+// of the zone has ended, its instances may be cold although their entries do not say so
+// yet.
+func (c *coldTracker) update(current *snapshot.Snapshot, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.followed == current {
+	if c.lastSnapshot == current {
 		return
 	}
-	c.followed = current
+	c.lastSnapshot = current
 	if instance, listed := current.InstanceAt(c.backend); listed {
 		c.phase.Follow(instance, now)
 	}
 	service, _ := current.Service(c.service)
-	if returns := current.ZoneReturns(c.zone); returns != c.returns {
-		c.returns = returns
-		c.phase.Presume(coldTime(service), now)
+	if returns := current.ZoneReturns(c.zone); returns != c.zoneReturns {
+		c.zoneReturns = returns
+		c.phase.AssumeCold(coldDuration(service), now)
 	}
 	c.limit.Set(c.bounds.boundsOf(service), c.phase.Until(), now)
 }
 
-// started takes over that a sender, which knows a newer configuration, names an instance
-// that is not listed here yet: it has just started.
-func (c *coldness) started(name string, current *snapshot.Snapshot, now time.Time) {
+// noteUnlisted records that a sender with a newer configuration addressed an instance that
+// is not listed here yet. The instance has just started and is treated as cold.
+func (c *coldTracker) noteUnlisted(name string, current *snapshot.Snapshot, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.unlisted == name {
+	if c.lastUnlisted == name {
 		return
 	}
-	c.unlisted = name
+	c.lastUnlisted = name
 	service, _ := current.Service(c.service)
-	c.phase.Presume(coldTime(service), now)
+	c.phase.AssumeCold(coldDuration(service), now)
 	c.limit.Set(c.bounds.boundsOf(service), c.phase.Until(), now)
 }
 
-func coldTime(service snapshot.Service) time.Duration {
+func coldDuration(service snapshot.Service) time.Duration {
 	return time.Duration(service.ColdMillis) * time.Millisecond
 }
--- a/internal/dataplane/inbound/crash.go
+++ b/internal/dataplane/inbound/crash.go
@@ -12,119 +12,122 @@
 )
 
 const (
-	// collectTime is how long requests that break off are collected after the end of the
-	// instance was found: all of its connections end within a few milliseconds.
-	collectTime = 20 * time.Millisecond
-	// abandonedMemory is how long a request that was given up still counts as in progress:
-	// the instance may work on for a while.
-	abandonedMemory = time.Second
-	// maxAbandoned bounds those that are remembered.
+	// crashCollectDelay is how long failing requests are collected after a crash was detected.
+	// All connections of a crashed instance end within a few milliseconds.
+	crashCollectDelay = 20 * time.Millisecond
+	// abandonedTTL is how long an abandoned request still counts as in progress, as the
+	// instance may continue to process it for a while.
+	abandonedTTL = time.Second
+	// maxAbandoned limits the number of abandoned requests that are kept.
 	maxAbandoned = 64
 )
 
-// runInProgress is one request that the instance worked on.
+// runInProgress describes a request that the instance was processing.
 type runInProgress struct {
 	fingerprint suspects.Fingerprint
-	// probe says that it was sent under suspicion.
+	// probe is set if the request was sent as one suspected of crashing instances.
 	probe bool
-	// id, method and target are for logs.
+	// id, method and target are only logged.
 	id, method, target string
 	instance           string
-	givenUpAt          time.Time // zero: its connection broke
+	abandonedAt        time.Time // zero if its connection was lost
 }
 
-// crashWatch tells the crash of the instance from the loss of one connection: after a crash
-// nothing listens at the instance's address. Node and instance share a machine, so that no
-// network lies between them.
-type crashWatch struct {
+// crashDetector distinguishes a crash of the instance from the loss of a single connection:
+// after a crash nothing listens at the instance's address. Node and instance run on the
+// same machine, so a network failure between them is ruled out.
+type crashDetector struct {
 	isGone func() bool
-	// crashed takes the requests that were in progress.
+	// crashed is called with the requests that were in progress at a crash.
 	crashed func(runs []runInProgress)
 
 	mutex sync.Mutex
-	// check is the one in progress, nil for none.
+	// check is the check in progress, or nil.
 	check     *crashCheck
 	abandoned []runInProgress
 }
 
-// crashCheck finds out whether the instance crashed.
+// crashCheck is one check of whether the instance crashed. done is closed at its end.
 type crashCheck struct {
-	done  chan struct{}
-	runs  []runInProgress
-	ended bool
+	done    chan struct{}
+	runs    []runInProgress
+	crashed bool
 }
 
-// broken takes a request whose connection broke, and reports whether the instance crashed.
-func (w *crashWatch) broken(run runInProgress) bool {
-	w.mutex.Lock()
-	check := w.check
+// connectionLost reports whether the instance crashed, after the connection of a request
+// was lost. Concurrent callers share one check.
+func (d *crashDetector) connectionLost(run runInProgress) bool {
+	d.mutex.Lock()
+	check := d.check
 	if check == nil {
 		check = &crashCheck{done: make(chan struct{})}
-		w.check = check
-		go w.run(check)
+		d.check = check
+		go d.runCheck(check)
 	}
 	check.runs = append(check.runs, run)
-	w.mutex.Unlock()
+	d.mutex.Unlock()
 	<-check.done
-	return check.ended
+	return check.crashed
 }
 
-// run makes the check and tells of the crash before anybody who waits for it goes on.
-func (w *crashWatch) run(check *crashCheck) {
+// runCheck performs the check. It reports a crash before any caller that waits for the check
+// continues.
+func (d *crashDetector) runCheck(check *crashCheck) {
 	defer close(check.done)
-	ended := w.isGone()
-	if ended {
-		time.Sleep(collectTime)
+	crashed := d.isGone()
+	if crashed {
+		time.Sleep(crashCollectDelay)
 	}
-	w.mutex.Lock()
-	w.check = nil
-	check.ended = ended
+	d.mutex.Lock()
+	d.check = nil
+	check.crashed = crashed
 	runs := check.runs
-	if ended {
-		runs = append(runs, w.recentlyAbandoned(time.Now())...)
-		w.abandoned = nil
+	if crashed {
+		runs = append(runs, d.recentlyAbandoned(time.Now())...)
+		d.abandoned = nil
 	}
-	w.mutex.Unlock()
-	if ended {
-		w.crashed(runs)
+	d.mutex.Unlock()
+	if crashed {
+		d.crashed(runs)
 	}
 }
 
-// givenUp notes a request that was given up while the instance worked on it.
-func (w *crashWatch) givenUp(run runInProgress, now time.Time) {
-	run.givenUpAt = now
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.abandoned = append(w.recentlyAbandoned(now), run)
-	if len(w.abandoned) > maxAbandoned {
-		w.abandoned = w.abandoned[1:]
+// noteAbandoned records a request that was abandoned while the instance processed it.
+func (d *crashDetector) noteAbandoned(run runInProgress, now time.Time) {
+	run.abandonedAt = now
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.abandoned = append(d.recentlyAbandoned(now), run)
+	if len(d.abandoned) > maxAbandoned {
+		d.abandoned = d.abandoned[1:]
 	}
 }
 
-// recentlyAbandoned returns what was given up a short while ago. The mutex is held.
-func (w *crashWatch) recentlyAbandoned(now time.Time) []runInProgress {
-	for len(w.abandoned) > 0 && now.Sub(w.abandoned[0].givenUpAt) > abandonedMemory {
-		w.abandoned = w.abandoned[1:]
+// recentlyAbandoned drops expired entries and returns the remaining ones. The caller must
+// hold the mutex.
+func (d *crashDetector) recentlyAbandoned(now time.Time) []runInProgress {
+	for len(d.abandoned) > 0 && now.Sub(d.abandoned[0].abandonedAt) > abandonedTTL {
+		d.abandoned = d.abandoned[1:]
 	}
-	return w.abandoned
+	return d.abandoned
 }
 
-// inProgress describes a request to the instance.
-func inProgress(request *message.Request, order hop.Order) runInProgress {
+// newRunInProgress describes a request to the instance.
+func newRunInProgress(request *message.Request, order hop.Order) runInProgress {
 	return runInProgress{
-		fingerprint: contentOf(request), probe: order.Suspected,
+		fingerprint: fingerprintOf(request), probe: order.Suspected,
 		id: request.ID, method: request.Method, target: request.Target, instance: order.Instance,
 	}
 }
 
-func contentOf(request *message.Request) suspects.Fingerprint {
+func fingerprintOf(request *message.Request) suspects.Fingerprint {
 	return suspects.Of(request.Method, request.Host, request.Target, request.Body)
 }
 
-// maxLoggedRuns bounds the requests that the line about a crash names.
+// maxLoggedRuns limits the number of requests in the log message about a crash.
 const maxLoggedRuns = 32
 
-// crashed notes the crash of the instance with the requests that were in progress, and logs it.
+// crashed records and logs a crash of the instance with the requests that were in progress.
 func (p *Proxy) crashed(runs []runInProgress) {
 	p.metrics.crashes.Inc()
 	running := make([]suspects.InProgress, len(runs))
@@ -132,11 +135,11 @@
 		running[i] = suspects.InProgress{Fingerprint: run.fingerprint, Probe: run.probe}
 	}
 	p.options.Suspects.Crashed(runs[0].instance, running)
-	named := make([]string, 0, min(len(runs), maxLoggedRuns))
+	requests := make([]string, 0, min(len(runs), maxLoggedRuns))
 	for _, run := range runs[:min(len(runs), maxLoggedRuns)] {
-		named = append(named, run.id+" "+run.method+" "+run.target+" "+run.fingerprint.String())
+		requests = append(requests, run.id+" "+run.method+" "+run.target+" "+run.fingerprint.String())
 	}
 	p.options.Logger.WithFields(logrus.Fields{
-		"instance": runs[0].instance, "service": p.options.Service, "in_progress": len(runs), "requests": named,
-	}).Warn("the instance crashed while it worked on requests")
+		"instance": runs[0].instance, "service": p.options.Service, "in_progress": len(runs), "requests": requests,
+	}).Warn("instance crashed while processing requests")
 }
--- a/internal/dataplane/inbound/crash_test.go
+++ b/internal/dataplane/inbound/crash_test.go
@@ -8,50 +8,51 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestCrashOfTheInstance: all requests whose connections break at a crash are told of together,
-// with those that were given up shortly before; the loss of one connection tells of nothing.
-func TestCrashOfTheInstance(t *testing.T) {
-	for name, gone := range map[string]bool{"crashed": true, "lost a connection": false} {
+// TestCrashIsReportedOnce checks that a crash is reported once, with all requests whose
+// connections it ended and those abandoned shortly before. The loss of a connection to a
+// running instance is not reported.
+func TestCrashIsReportedOnce(t *testing.T) {
+	for name, gone := range map[string]bool{"crashed": true, "connection lost": false} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			asked, verdict := make(chan struct{}, 1), make(chan bool)
-			var told [][]runInProgress
-			watch := &crashWatch{
-				isGone:  func() bool { asked <- struct{}{}; return <-verdict },
-				crashed: func(runs []runInProgress) { told = append(told, runs) },
+			checking, instanceGone := make(chan struct{}, 1), make(chan bool)
+			var reported [][]runInProgress
+			detector := &crashDetector{
+				isGone:  func() bool { checking <- struct{}{}; return <-instanceGone },
+				crashed: func(runs []runInProgress) { reported = append(reported, runs) },
 			}
-			watch.givenUp(runInProgress{id: "long ago"}, time.Now().Add(-2*abandonedMemory))
-			watch.givenUp(runInProgress{id: "given up"}, time.Now())
+			detector.noteAbandoned(runInProgress{id: "expired"}, time.Now().Add(-2*abandonedTTL))
+			detector.noteAbandoned(runInProgress{id: "abandoned"}, time.Now())
 			var waiting sync.WaitGroup
-			ended := make([]bool, 3)
+			crashed := make([]bool, 3)
 			join := func(index int, id string) {
-				waiting.Go(func() { ended[index] = watch.broken(runInProgress{id: id}) })
+				waiting.Go(func() { crashed[index] = detector.connectionLost(runInProgress{id: id}) })
 			}
 			join(0, "first")
-			<-asked
-			watch.mutex.Lock()
-			check := watch.check
-			watch.mutex.Unlock()
+			<-checking
+			detector.mutex.Lock()
+			check := detector.check
+			detector.mutex.Unlock()
 			join(1, "second")
 			join(2, "third")
 			for count := 0; count < 3; {
-				watch.mutex.Lock()
+				detector.mutex.Lock()
 				count = len(check.runs)
-				watch.mutex.Unlock()
+				detector.mutex.Unlock()
 			}
-			verdict <- gone
+			instanceGone <- gone
 			waiting.Wait()
-			c.Check(ended, qt.DeepEquals, []bool{gone, gone, gone})
+			c.Check(crashed, qt.DeepEquals, []bool{gone, gone, gone})
 			if !gone {
-				c.Check(told, qt.HasLen, 0)
+				c.Check(reported, qt.HasLen, 0)
 				return
 			}
-			c.Assert(told, qt.HasLen, 1)
+			c.Assert(reported, qt.HasLen, 1)
 			ids := map[string]bool{}
-			for _, run := range told[0] {
+			for _, run := range reported[0] {
 				ids[run.id] = true
 			}
-			c.Check(ids, qt.DeepEquals, map[string]bool{"first": true, "second": true, "third": true, "given up": true})
+			c.Check(ids, qt.DeepEquals, map[string]bool{"first": true, "second": true, "third": true, "abandoned": true})
 		})
 	}
 }
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -1,6 +1,7 @@
-// Package inbound is the node's side beside an instance: it alone sends requests
-// to it. So it counts slots exactly, refuses what the instance must not get any
-// more, and knows for each request whether the instance may have run it.
+// Package inbound proxies requests from other nodes to the node's local instance. No other
+// process sends requests to the instance. The package can therefore count its slots exactly,
+// refuse requests that the instance must no longer get, and determine for each request
+// whether the instance may have executed it.
 package inbound
 
 import (
@@ -25,50 +26,51 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// SnapshotSource gives the configuration in force.
+// SnapshotSource provides the current configuration.
 type SnapshotSource interface {
-	// Current returns nil until the node holds a version.
+	// Current returns nil until the node has received a configuration.
 	Current() *snapshot.Snapshot
 }
 
-// Options set up a Proxy.
+// Options configure a Proxy.
 type Options struct {
 	Names     message.Names
 	Snapshots SnapshotSource
 	// Backend is the address of the instance (IP:port).
 	Backend string
-	// Service and Zone are those of the instance.
+	// Service and Zone are the service and zone of the instance.
 	Service, Zone string
-	// Cold is the tolerance above the cold rate of the service.
+	// Cold sets by how much the cold rate of the service may be exceeded.
 	Cold ColdBounds
-	// Slots are those of an instance that names none.
+	// Slots is the number of slots of an instance whose entry specifies none.
 	Slots int
-	// MaxRestOnce is how long a connection to the instance may have rested that a
-	// request which may not be repeated is sent on; zero takes defaultMaxRestOnce.
-	MaxRestOnce time.Duration
-	// LinkBytesPerSecond is the capacity of the machine's link; zero: not known.
+	// MaxIdleNonRepeatable is the maximum idle time of a connection that is reused for a
+	// request which must not be repeated; zero selects defaultMaxIdleNonRepeatable.
+	MaxIdleNonRepeatable time.Duration
+	// LinkBytesPerSecond is the capacity of the machine's link; zero if not known.
 	LinkBytesPerSecond float64
-	// Budget bounds the repeats of what starts at this node, the calls of the instance too;
-	// nil: nothing bounds them.
+	// Budget limits the repeats of requests that start at this node, including the calls of
+	// the instance; nil means no limit.
 	Budget *budget.Accounts
-	// Suspects knows the requests that may crash instances; nil: they are known here alone.
+	// Suspects records the requests that may crash instances; if it is nil, the Proxy keeps a
+	// ledger of its own.
 	Suspects *suspects.Ledger
-	// Mechanisms that are on.
+	// Mechanisms are the mechanisms that are enabled.
 	Mechanisms mechanism.Set
 	Logger     logrus.FieldLogger
-	// Registerer takes the metrics; nil for none.
+	// Registerer registers the metrics; nil for none.
 	Registerer prometheus.Registerer
 }
 
 const (
 	connectTimeout = time.Second
-	// idleTimeout is how long a connection rests when the instance names no time.
+	// idleTimeout is how long an idle connection is kept if the instance specifies no time.
 	idleTimeout = 4 * time.Second
-	// defaultMaxRestOnce is well below the time after which instances were seen to
-	// forget connections (0.3 s); a new connection costs about a millisecond.
-	defaultMaxRestOnce = 100 * time.Millisecond
-	// answerMargin is how much earlier the instance's time is over than the
-	// request's, so that its own answer is still in time.
+	// defaultMaxIdleNonRepeatable is well below the idle time of 0.3 s after which instances
+	// were seen to drop connections silently. A new connection costs about a millisecond.
+	defaultMaxIdleNonRepeatable = 100 * time.Millisecond
+	// answerMargin is how much earlier than the request's own deadline the deadline given to
+	// the instance is, so that the instance's answer is still in time.
 	answerMargin = 10 * time.Millisecond
 )
 
@@ -78,20 +80,20 @@
 	instance *client.Pool
 	queue    *queue.Queue
 	link     *transfer.Gate
-	speed    speed
-	cold     *coldness
+	speed    speedEstimate
+	cold     *coldTracker
 	slots    atomic.Int64
 	stop     atomic.Pointer[plannedStop]
-	ended    endedInstances
-	crashes  *crashWatch
-	probes   probes
-	origins  origins
+	stale    staleInstances
+	crashes  *crashDetector
+	probes   probeSemaphore
+	origins  originTracker
 	active   atomic.Int64
 	lines    *boundedlog.Lines
 	metrics  *metrics
 }
 
-// New returns a Proxy, or an error when its metrics cannot be registered.
+// New returns a Proxy, or an error if its metrics cannot be registered.
 func New(options Options) (*Proxy, error) {
 	if options.Budget == nil {
 		options.Budget = budget.New(budget.Options{Slack: math.MaxInt32, FirstStart: true})
@@ -99,8 +101,8 @@
 	if options.Suspects == nil {
 		options.Suspects = suspects.NewLedger()
 	}
-	if options.MaxRestOnce == 0 {
-		options.MaxRestOnce = defaultMaxRestOnce
+	if options.MaxIdleNonRepeatable == 0 {
+		options.MaxIdleNonRepeatable = defaultMaxIdleNonRepeatable
 	}
 	created := &Proxy{
 		options: options,
@@ -113,50 +115,51 @@
 		link:  transfer.NewGate(transfer.Options{BytesPerSecond: options.LinkBytesPerSecond}),
 		lines: boundedlog.New(options.Logger),
 	}
-	created.probes = newProbes()
-	created.crashes = &crashWatch{isGone: created.instance.IsGone, crashed: created.crashed}
-	created.cold = newColdness(options)
-	created.queue = queue.NewPaced(options.Slots, created.cold.limit)
+	created.probes = newProbeSemaphore()
+	created.crashes = &crashDetector{isGone: created.instance.IsGone, crashed: created.crashed}
+	created.cold = newColdTracker(options)
+	created.queue = queue.NewRateLimited(options.Slots, created.cold.limit)
 	created.slots.Store(int64(options.Slots))
 	var err error
 	created.metrics, err = newMetrics(options.Registerer, created.queue)
 	return created, err
 }
 
-// plannedStop is when new requests are refused, and when the last must have ended.
+// plannedStop holds the time from which new requests are refused and the time at which the
+// last request must have ended.
 type plannedStop struct{ refuseAt, end time.Time }
 
-// Drain announces a planned stop: the instance lives on, so requests are brought to
-// it until refuseAt, if they end before the stop's end.
+// Drain announces a planned stop of the node. The instance keeps running, so requests are
+// sent to it until refuseAt if their deadlines are not after end.
 func (p *Proxy) Drain(refuseAt, end time.Time) {
 	p.stop.Store(&plannedStop{refuseAt: refuseAt, end: end})
 }
 
-// leaves reports whether a planned stop leaves no time for a request.
-func (p *Proxy) leaves(deadline time.Time) bool {
+// stopsBefore reports whether a planned stop leaves no time for a request with the deadline.
+func (p *Proxy) stopsBefore(deadline time.Time) bool {
 	stop := p.stop.Load()
 	return stop != nil && (deadline.After(stop.end) || !time.Now().Before(stop.refuseAt))
 }
 
-// Active counts the requests in progress.
+// Active returns the number of requests in progress.
 func (p *Proxy) Active() int { return int(p.active.Load()) }
 
-// Maintain closes connections that rested for too long.
+// Maintain closes connections that were idle for too long.
 func (p *Proxy) Maintain(now time.Time) { p.instance.Prune(now) }
 
-// Close closes the connections that rest.
+// Close closes the idle connections.
 func (p *Proxy) Close() { p.instance.Close() }
 
-// Delivery is what became of a request: an answer of the instance when the
-// report's outcome is hop.Answered, otherwise none.
+// Delivery is the result of a request. It holds an answer of the instance if the report's
+// outcome is hop.Answered.
 type Delivery struct {
 	Report hop.Report
 	Answer *message.Answer
-	// Err is why there is no answer, for logs.
+	// Err is the reason why there is no answer. It is only logged.
 	Err error
 }
 
-// Serve takes a request of another node.
+// Serve handles a request from another node.
 func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Answer {
 	if request.Method == client.VerifyMethod && request.Target == client.VerifyTarget {
 		answer := message.Whole(http.StatusNoContent, nil, nil)
@@ -165,15 +168,15 @@
 	}
 	order, err := hop.DecodeOrder(request.Header.Get(hop.Header))
 	if err != nil {
-		return p.answerOf(request, Delivery{Report: p.report(hop.Refused, hop.ReasonMalformed), Err: err})
+		return p.answerFor(request, Delivery{Report: p.report(hop.Refused, hop.ReasonMalformed), Err: err})
 	}
 	delete(request.Header, hop.Header)
-	return p.answerOf(request, p.Deliver(ctx, request, order))
+	return p.answerFor(request, p.Deliver(ctx, request, order))
 }
 
-// answerOf makes the answer for the other node, which takes no answer without the
-// id of its request.
-func (p *Proxy) answerOf(request *message.Request, delivery Delivery) *message.Answer {
+// answerFor returns the answer for the other node, which accepts no answer without the
+// ID of its request.
+func (p *Proxy) answerFor(request *message.Request, delivery Delivery) *message.Answer {
 	answer := delivery.Answer
 	if answer == nil {
 		answer = message.Whole(http.StatusServiceUnavailable, nil, nil)
@@ -183,16 +186,16 @@
 	return answer
 }
 
-// Deliver brings a request to the instance. Whatever it refuses has not run.
+// Deliver sends a request to the instance. A request that it refuses was not executed.
 func (p *Proxy) Deliver(ctx context.Context, request *message.Request, order hop.Order) Delivery {
 	delivery := p.deliver(ctx, request, order)
 	delivery.Report.Shared = p.isShared(request, order)
-	p.metrics.delivered(delivery.Report)
+	p.metrics.observeDelivery(delivery.Report)
 	p.log(request, order, delivery)
 	return delivery
 }
 
-// log writes a line about a request that the instance did not answer.
+// log logs a request that the instance did not answer.
 func (p *Proxy) log(request *message.Request, order hop.Order, delivery Delivery) {
 	if delivery.Report.Outcome == hop.Answered {
 		return
@@ -215,15 +218,15 @@
 	entry.Warn("request not answered by the instance")
 }
 
-// deliver is Deliver without its log.
+// deliver implements Deliver without logs and metrics.
 func (p *Proxy) deliver(ctx context.Context, request *message.Request, order hop.Order) Delivery {
 	p.active.Add(1)
 	defer p.active.Add(-1)
 	deadline := request.Arrived.Add(order.Remaining)
-	if p.leaves(deadline) {
+	if p.stopsBefore(deadline) {
 		return p.refuse(hop.ReasonDraining, 0)
 	}
-	if reason := p.check(order); reason != hop.ReasonNone {
+	if reason := p.checkTarget(order); reason != hop.ReasonNone {
 		return p.refuse(reason, 0)
 	}
 	switch standing := p.standing(request); {
@@ -238,19 +241,19 @@
 // deliverAdmitted waits for a slot and sends the request.
 func (p *Proxy) deliverAdmitted(ctx context.Context, request *message.Request, order hop.Order) Delivery {
 	deadline := request.Arrived.Add(order.Remaining)
-	if order.Repeat >= hop.Certain && !p.options.Budget.Fits(againOf(order), time.Now()) {
+	if order.Repeat >= hop.Certain && !p.options.Budget.Fits(repetitionOf(order), time.Now()) {
 		return p.refuse(hop.ReasonRepeats, 0)
 	}
 	asked := time.Now()
-	slot, refusal, wait := p.queue.Acquire(ctx, p.ticketOf(request, order))
+	slot, refusal, wait := p.queue.Acquire(ctx, p.ticketFor(request, order))
 	waited := time.Since(asked)
-	p.metrics.waited(waited)
+	p.metrics.observeWait(waited)
 	if refusal != queue.None {
 		delivery := p.refuse(reasonOf(refusal), wait)
 		delivery.Report.Waited = waited
 		return delivery
 	}
-	if reason := p.recheck(ctx, request, order, deadline); reason != hop.ReasonNone {
+	if reason := p.recheckTarget(ctx, request, order, deadline); reason != hop.ReasonNone {
 		slot.Release(false)
 		return p.refuse(reason, 0)
 	}
@@ -259,58 +262,59 @@
 	return delivery
 }
 
-// run sends the request to the instance and counts it as long as the instance works on it.
+// run sends the request to the instance and counts it in the budget while the instance
+// processes it.
 func (p *Proxy) run(ctx context.Context, request *message.Request, order hop.Order, deadline time.Time, slot *queue.Slot) Delivery {
-	begun, admitted := p.options.Budget.Begin(againOf(order), time.Now())
+	run, admitted := p.options.Budget.Begin(repetitionOf(order), time.Now())
 	if !admitted {
 		slot.Release(false)
 		return p.refuse(hop.ReasonRepeats, 0)
 	}
 	delivery := p.send(ctx, request, order, deadline, slot)
 	if delivery.Answer != nil {
-		if rest, streams := delivery.Answer.Stream.(*stream); streams {
-			rest.run = begun
+		if rest, ok := delivery.Answer.Stream.(*stream); ok {
+			rest.run = run
 			return delivery
 		}
 	}
-	begun.End()
+	run.End()
 	return delivery
 }
 
-// againOf is how far a request is a repeat, by what its sender says.
-func againOf(order hop.Order) budget.Again {
-	return budget.Again{Probability: float64(order.Repeat) / hop.Certain, Failed: order.Failed}
+// repetitionOf returns what the sender states about the request being a repeat.
+func repetitionOf(order hop.Order) budget.Repetition {
+	return budget.Repetition{Probability: float64(order.Repeat) / hop.Certain, Failed: order.Failed}
 }
 
-// isShared notes where a request starts, and reports whether those of its route start
-// beside all services.
+// isShared records the service at whose node a request starts, and reports whether the
+// requests of its route start at the nodes of all services.
 func (p *Proxy) isShared(request *message.Request, order hop.Order) bool {
 	current := p.options.Snapshots.Current()
 	if current == nil {
 		return false
 	}
 	route := current.Lookup(request.Method, request.Host, request.Path, request.Header)
-	return route != nil && p.origins.note(route.Name, order.CallerService, current)
+	return route != nil && p.origins.record(route.Name, order.CallerService, current)
 }
 
-// ticketOf asks for a slot for the request.
-func (p *Proxy) ticketOf(request *message.Request, order hop.Order) queue.Ticket {
+// ticketFor returns the ticket with which the request queues for a slot.
+func (p *Proxy) ticketFor(request *message.Request, order hop.Order) queue.Ticket {
 	ticket := queue.Ticket{
 		Priority: order.Priority, Value: queue.Value(order.Value), Due: request.Arrived.Add(order.Due),
 		LatestStart: request.Arrived.Add(order.Remaining - order.Expected),
 		MaxWait:     order.MaxWait, Expected: order.Expected, Length: order.Expected, OnlyCandidate: order.OnlyCandidate,
 	}
-	on := p.options.Mechanisms
-	if !on.ValueOrder {
+	enabled := p.options.Mechanisms
+	if !enabled.ValueOrder {
 		ticket.Value = queue.Full
 	}
-	if !on.DueOrder {
+	if !enabled.DueOrder {
 		ticket.Due = request.Arrived
 	}
-	if !on.ShortFirst {
+	if !enabled.ShortFirst {
 		ticket.Length = 0
 	}
-	ticket.OnlyCandidate = ticket.OnlyCandidate && on.Stays
+	ticket.OnlyCandidate = ticket.OnlyCandidate && enabled.Stays
 	return ticket
 }
 
@@ -320,7 +324,7 @@
 		return hop.ReasonDeadline
 	case queue.Cancelled:
 		return hop.ReasonCancelled
-	case queue.Paced:
+	case queue.RateLimited:
 		return hop.ReasonCold
 	default:
 		return hop.ReasonOverloaded
@@ -333,7 +337,7 @@
 	return Delivery{Report: report}
 }
 
-// report tells the load of the instance as counted here.
+// report returns a report with the current load of the instance.
 func (p *Proxy) report(outcome hop.Outcome, reason hop.Reason) hop.Report {
 	usage := p.queue.Usage()
 	const kibibyte = 1024
--- a/internal/dataplane/inbound/inbound_test.go
+++ b/internal/dataplane/inbound/inbound_test.go
@@ -23,7 +23,7 @@
 
 func (noSnapshots) Current() *snapshot.Snapshot { return nil }
 
-// newProxy returns a proxy that holds no configuration.
+// newProxy returns a proxy without a configuration.
 func newProxy(t *testing.T) *inbound.Proxy {
 	proxy, err := inbound.New(inbound.Options{
 		Mechanisms: mechanism.All(),
@@ -35,9 +35,9 @@
 	return proxy
 }
 
-// TestRefusalBearsTheIDOfItsRequest: another node takes an answer without the id
-// for one that belongs to another request, and waits on until the time is over.
-func TestRefusalBearsTheIDOfItsRequest(t *testing.T) {
+// TestRefusalHasTheRequestID guards against a refusal without the ID of its request: the
+// other node attributes such an answer to another request and waits until its deadline.
+func TestRefusalHasTheRequestID(t *testing.T) {
 	proxy := newProxy(t)
 	rows := map[string]string{
 		"refused":   hop.Order{Instance: "i-1", Remaining: time.Second}.Encode(),
@@ -57,19 +57,19 @@
 	}
 }
 
-// TestPlannedStopServesOn: the instance lives on while its node stops, so the node
-// brings it what ends in time until the others know.
-func TestPlannedStopServesOn(t *testing.T) {
+// TestPlannedStopKeepsServing checks that during a planned stop the node still sends to the
+// running instance what ends in time, until the other nodes know of the stop.
+func TestPlannedStopKeepsServing(t *testing.T) {
 	now := time.Now()
 	rows := map[string]struct {
 		refuseAt, end time.Time
 		remaining     time.Duration
 		want          hop.Reason
 	}{
-		"ends in time":      {now.Add(time.Hour), now.Add(2 * time.Hour), time.Minute, hop.ReasonUnconfigured},
-		"may end too late":  {now.Add(time.Hour), now.Add(time.Hour), 2 * time.Hour, hop.ReasonDraining},
-		"the others know":   {now, now.Add(time.Hour), time.Minute, hop.ReasonDraining},
-		"no stop announced": {time.Time{}, time.Time{}, time.Minute, hop.ReasonUnconfigured},
+		"deadline in time":  {now.Add(time.Hour), now.Add(2 * time.Hour), time.Minute, hop.ReasonUnconfigured},
+		"deadline too late": {now.Add(time.Hour), now.Add(time.Hour), 2 * time.Hour, hop.ReasonDraining},
+		"refuseAt reached":  {now, now.Add(time.Hour), time.Minute, hop.ReasonDraining},
+		"no planned stop":   {time.Time{}, time.Time{}, time.Minute, hop.ReasonUnconfigured},
 	}
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
@@ -84,12 +84,12 @@
 	}
 }
 
-// fixedSnapshot is always in force.
+// fixedSnapshot is a SnapshotSource that always returns the same snapshot.
 type fixedSnapshot struct{ current *snapshot.Snapshot }
 
 func (f fixedSnapshot) Current() *snapshot.Snapshot { return f.current }
 
-// newServedProxy returns a proxy beside an emulated instance that is in force.
+// newServedProxy returns a proxy for an emulated instance that its snapshot lists.
 func newServedProxy(t *testing.T, emulated *instance.Instance, options inbound.Options) *inbound.Proxy {
 	address, err := emulated.Start()
 	qt.Assert(t, err, qt.IsNil)
@@ -117,20 +117,20 @@
 	}, order)
 }
 
-// TestForgottenConnections: a request that may not be repeated is not lost to a
-// connection that the instance has forgotten.
-func TestForgottenConnections(t *testing.T) {
+// TestSilentlyDroppedConnections guards against losing a request that must not be repeated
+// because it was sent on a connection that the instance dropped without closing it.
+func TestSilentlyDroppedConnections(t *testing.T) {
 	for name, row := range map[string]struct {
 		repeatable bool
 		want       hop.Outcome
 	}{
-		"may run once": {false, hop.Answered},
-		"repeatable":   {true, hop.Unknown},
+		"not repeatable": {false, hop.Answered},
+		"repeatable":     {true, hop.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			emulated := &instance.Instance{Name: "i-1"}
-			proxy := newServedProxy(t, emulated, inbound.Options{Mechanisms: mechanism.All(), MaxRestOnce: time.Nanosecond})
+			proxy := newServedProxy(t, emulated, inbound.Options{Mechanisms: mechanism.All(), MaxIdleNonRepeatable: time.Nanosecond})
 			order := hop.Order{Instance: "i-1", Remaining: time.Minute, MaxWait: time.Minute, Repeatable: row.repeatable}
 			c.Assert(deliver(proxy, "first", order).Report.Outcome, qt.Equals, hop.Answered)
 			emulated.ForgetConnections()
--- a/internal/dataplane/inbound/metrics.go
+++ b/internal/dataplane/inbound/metrics.go
@@ -56,8 +56,8 @@
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return float64(value()) })
 }
 
-func (m *metrics) delivered(report hop.Report) {
+func (m *metrics) observeDelivery(report hop.Report) {
 	m.deliveries.WithLabelValues(string(report.Outcome), string(report.Reason)).Inc()
 }
 
-func (m *metrics) waited(wait time.Duration) { m.waits.Observe(wait.Seconds()) }
+func (m *metrics) observeWait(wait time.Duration) { m.waits.Observe(wait.Seconds()) }
--- a/internal/dataplane/inbound/origins.go
+++ b/internal/dataplane/inbound/origins.go
@@ -7,43 +7,44 @@
 )
 
 const (
-	// leastOrigins is how many requests of a route are seen before it is judged.
-	leastOrigins = 60
-	// judgeEvery is how many more are seen between two looks.
-	judgeEvery = 10
-	// sharedRate is the least share of the greatest rate of one service's nodes that the
-	// nodes beside each other service must send as well.
-	sharedRate = 0.2
-	// maxOrigins bounds the routes that are remembered.
-	maxOrigins = 10_000
+	// minRequests is the number of requests of a route before it is first classified.
+	minRequests = 60
+	// evaluationInterval is the number of further requests between two evaluations.
+	evaluationInterval = 10
+	// minRateRatio is the share of the highest request rate per node of any service that the
+	// nodes of every service must reach for the route to count as shared.
+	minRateRatio = 0.2
+	// maxRoutes limits the number of routes that are tracked.
+	maxRoutes = 10_000
 )
 
-// origins learns which routes callers send: their requests start at all nodes alike, while
-// the calls of instances start only beside instances of the services that make them.
-type origins struct {
+// originTracker detects which routes are used by external callers. Requests of callers start
+// evenly at all nodes, while the calls of instances start only at the nodes of the calling
+// services.
+type originTracker struct {
 	mutex  sync.Mutex
-	routes map[string]*origin
+	routes map[string]*routeOrigin
 }
 
-// origin is where the requests of one route start.
-type origin struct {
-	// services counts them by the service beside which they start.
+// routeOrigin counts where the requests of one route start.
+type routeOrigin struct {
+	// services counts the requests by the service of the node at which they start.
 	services map[string]int
 	total    int
 	shared   bool
 }
 
-// note takes over that a request of a route starts beside a service, and reports whether
-// the route's requests start beside all services.
-func (o *origins) note(route, service string, current *snapshot.Snapshot) bool {
+// record counts a request of a route that starts at a node of the service, and reports
+// whether the route's requests start at the nodes of all services.
+func (o *originTracker) record(route, service string, current *snapshot.Snapshot) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	found := o.routes[route]
 	if found == nil {
-		if o.routes == nil || len(o.routes) >= maxOrigins {
-			o.routes = make(map[string]*origin)
+		if o.routes == nil || len(o.routes) >= maxRoutes {
+			o.routes = make(map[string]*routeOrigin)
 		}
-		found = &origin{services: make(map[string]int)}
+		found = &routeOrigin{services: make(map[string]int)}
 		o.routes[route] = found
 	}
 	if found.shared {
@@ -51,25 +52,25 @@
 	}
 	found.services[service]++
 	found.total++
-	if found.total >= leastOrigins && found.total%judgeEvery == 0 {
+	if found.total >= minRequests && found.total%evaluationInterval == 0 {
 		found.shared = found.isShared(current)
 	}
 	return found.shared
 }
 
-// isShared compares the requests for each node beside each service.
-func (o *origin) isShared(current *snapshot.Snapshot) bool {
-	least, most := -1.0, 0.0
+// isShared compares the number of requests per node of each service.
+func (o *routeOrigin) isShared(current *snapshot.Snapshot) bool {
+	lowest, highest := -1.0, 0.0
 	for service := range current.Services() {
 		nodes := len(current.Instances(service))
 		if nodes == 0 {
 			continue
 		}
 		rate := float64(o.services[service]) / float64(nodes)
-		most = max(most, rate)
-		if least < 0 || rate < least {
-			least = rate
+		highest = max(highest, rate)
+		if lowest < 0 || rate < lowest {
+			lowest = rate
 		}
 	}
-	return most > 0 && least >= sharedRate*most
+	return highest > 0 && lowest >= minRateRatio*highest
 }
--- a/internal/dataplane/inbound/origins_test.go
+++ b/internal/dataplane/inbound/origins_test.go
@@ -9,7 +9,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// fleetOf is a snapshot with so many instances of each service.
+// fleetOf returns a snapshot with the given number of instances of each service.
 func fleetOf(c *qt.C, counts map[string]int) *snapshot.Snapshot {
 	version := snapshot.Version{Revision: 1, Hash: snapshot.ContentHash{1}}
 	var services []snapshot.Service
@@ -25,28 +25,29 @@
 	return built.WithFleet(version, snapshot.Content{Instances: instances})
 }
 
-// TestRoutesOfCallersAndOfInstances: a route whose requests start beside all services is
-// one of callers, whatever the number of nodes; one that a service leaves out is not.
-func TestRoutesOfCallersAndOfInstances(t *testing.T) {
+// TestSharedRoutes checks that a route whose requests start at the nodes of all services is
+// classified as shared, whatever the number of nodes, and that a route is not if a service
+// sends no requests or hardly any.
+func TestSharedRoutes(t *testing.T) {
 	for name, row := range map[string]struct {
 		nodes map[string]int
-		// sent are the requests that start beside each service, for each node.
+		// sent is the number of requests that start at each node of a service.
 		sent map[string]int
 		want bool
 	}{
-		"callers beside all":          {map[string]int{"a": 6, "b": 4, "c": 3}, map[string]int{"a": 10, "b": 9, "c": 12}, true},
-		"callers, far nodes less":     {map[string]int{"a": 2, "b": 2, "c": 1}, map[string]int{"a": 40, "b": 30, "c": 9}, true},
+		"callers at all services":     {map[string]int{"a": 6, "b": 4, "c": 3}, map[string]int{"a": 10, "b": 9, "c": 12}, true},
+		"callers, uneven rates":       {map[string]int{"a": 2, "b": 2, "c": 1}, map[string]int{"a": 40, "b": 30, "c": 9}, true},
 		"calls of one service":        {map[string]int{"a": 6, "b": 4, "c": 3}, map[string]int{"a": 40}, false},
 		"calls of two services":       {map[string]int{"a": 6, "b": 4, "c": 3}, map[string]int{"a": 40, "b": 20}, false},
-		"calls, and a few by mistake": {map[string]int{"a": 6, "b": 4, "c": 3}, map[string]int{"a": 40, "b": 1, "c": 1}, false},
-		"too few to tell":             {map[string]int{"a": 1, "b": 1}, map[string]int{"a": 20, "b": 20}, false},
+		"calls, and a few stray ones": {map[string]int{"a": 6, "b": 4, "c": 3}, map[string]int{"a": 40, "b": 1, "c": 1}, false},
+		"too few requests":            {map[string]int{"a": 1, "b": 1}, map[string]int{"a": 20, "b": 20}, false},
 		"a service without nodes":     {map[string]int{"a": 2, "b": 2, "none": 0}, map[string]int{"a": 40, "b": 40}, true},
 		"one service":                 {map[string]int{"a": 4}, map[string]int{"a": 20}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			current := fleetOf(c, row.nodes)
-			var learned origins
+			var tracker originTracker
 			shared := false
 			for round := range 50 {
 				for service, each := range row.sent {
@@ -54,7 +55,7 @@
 						continue
 					}
 					for range row.nodes[service] {
-						shared = learned.note("route", service, current)
+						shared = tracker.record("route", service, current)
 					}
 				}
 			}
--- a/internal/dataplane/inbound/probe.go
+++ b/internal/dataplane/inbound/probe.go
@@ -9,23 +9,23 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// probes lets one suspected request at a time run on the instance: when it crashes, there is
-// one to blame. Without them, of the requests that are in progress at each crash of a request
-// that comes again and again, nothing tells victims from the one at fault.
-type probes struct{ free chan struct{} }
+// probeSemaphore allows one suspected request at a time to run on the instance, so that a
+// crash can be attributed to it. Otherwise, if a request that crashes instances is sent again
+// and again, it could not be told apart from the other requests in progress at each crash.
+type probeSemaphore struct{ available chan struct{} }
 
-func newProbes() probes {
-	created := probes{free: make(chan struct{}, 1)}
-	created.free <- struct{}{}
+func newProbeSemaphore() probeSemaphore {
+	created := probeSemaphore{available: make(chan struct{}, 1)}
+	created.available <- struct{}{}
 	return created
 }
 
-// acquire waits for the end of the probe in progress, no longer than the patience.
-func (t probes) acquire(ctx context.Context, patience time.Duration) bool {
-	timer := time.NewTimer(patience)
+// acquire waits for the end of the probe in progress, for at most maxWait.
+func (s probeSemaphore) acquire(ctx context.Context, maxWait time.Duration) bool {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
-	case <-t.free:
+	case <-s.available:
 		return true
 	case <-timer.C:
 		return false
@@ -34,38 +34,39 @@
 	}
 }
 
-func (t probes) release() { t.free <- struct{}{} }
+func (s probeSemaphore) release() { s.available <- struct{}{} }
 
-// deliverSuspect brings a request to the instance that may have crashed one before. known says
-// that this node knows of that too; otherwise the record of the crash is still on its way.
-func (p *Proxy) deliverSuspect(ctx context.Context, request *message.Request, order hop.Order, known bool) Delivery {
+// deliverSuspect sends a request that may have crashed an instance before. locallySuspected is
+// set if this node has a record of that crash itself; otherwise the record has not arrived yet.
+func (p *Proxy) deliverSuspect(ctx context.Context, request *message.Request, order hop.Order, locallySuspected bool) Delivery {
 	if !p.probes.acquire(ctx, order.MaxWait) {
-		return p.refuse(hop.ReasonProbe, probeRetry)
+		return p.refuse(hop.ReasonProbe, probeRetryAfter)
 	}
 	defer p.probes.release()
 	standing := p.standing(request)
 	if standing == suspects.Quarantined {
 		return p.refuse(hop.ReasonCrashesInstances, 0)
 	}
-	cleared := known && standing == suspects.Clear // what was probed before it was of the same content
+	cleared := locallySuspected && standing == suspects.Clear // the probe before had the same content
 	order.Suspected = !cleared
 	return p.deliverAdmitted(ctx, request, order)
 }
 
-// probeRetry is when a request is worth sending again while another one is probed.
-const probeRetry = 200 * time.Millisecond
+// probeRetryAfter is the time after which a request refused during another probe is worth
+// sending again.
+const probeRetryAfter = 200 * time.Millisecond
 
-// standing judges a request by what this node knows.
+// standing returns the standing of a request according to this node's ledger.
 func (p *Proxy) standing(request *message.Request) suspects.Standing {
 	if p.options.Suspects.IsEmpty() {
 		return suspects.Clear
 	}
-	return p.options.Suspects.Assess(contentOf(request)).Standing
+	return p.options.Suspects.Assess(fingerprintOf(request)).Standing
 }
 
-// answered clears the content of a request that the instance answered.
-func (p *Proxy) answered(request *message.Request) {
+// clearSuspicion clears the content of a request that the instance has answered.
+func (p *Proxy) clearSuspicion(request *message.Request) {
 	if !p.options.Suspects.IsEmpty() {
-		p.options.Suspects.Answered(contentOf(request))
+		p.options.Suspects.Answered(fingerprintOf(request))
 	}
 }
--- a/internal/dataplane/inbound/probe_test.go
+++ b/internal/dataplane/inbound/probe_test.go
@@ -22,19 +22,19 @@
 
 func (s oneSnapshot) Current() *snapshot.Snapshot { return s.snapshot }
 
-// TestProbe: what a crash of the instance says of the request that was in progress depends on
-// whether it ran under suspicion, by what this node knows or by the sender's word: the record
-// of an earlier crash may still be on its way here.
+// TestProbe checks that a request during which the instance crashes is quarantined if it was
+// already suspected, and otherwise becomes suspected. The suspicion may be known to this node
+// or only to the sender, as the record of the earlier crash may not have arrived here yet.
 func TestProbe(t *testing.T) {
-	other := []suspects.InProgress{{Fingerprint: suspects.Of(http.MethodGet, "h", "/x", nil)}}
+	running := []suspects.InProgress{{Fingerprint: suspects.Of(http.MethodGet, "h", "/x", nil)}}
 	for name, row := range map[string]struct {
 		known, bySender bool
 		want            suspects.Standing
 	}{
-		"under no suspicion":    {false, false, suspects.Suspected},
-		"this node knows":       {true, false, suspects.Quarantined},
-		"only the sender knows": {false, true, suspects.Quarantined},
-		"both know":             {true, true, suspects.Quarantined},
+		"not suspected":       {false, false, suspects.Suspected},
+		"known to this node":  {true, false, suspects.Quarantined},
+		"known to the sender": {false, true, suspects.Quarantined},
+		"known to both":       {true, true, suspects.Quarantined},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -55,14 +55,14 @@
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(proxy.Close)
 			if row.known {
-				ledger.Crashed("i-0", other)
+				ledger.Crashed("i-0", running)
 			}
 			request := &message.Request{ID: "r", Method: http.MethodGet, Host: "h", Target: "/x", Path: "/x", Header: http.Header{}, Arrived: time.Now()}
 			delivery := proxy.Deliver(context.Background(), request, hop.Order{
 				Instance: "i-1", Remaining: time.Minute, MaxWait: time.Minute, Suspected: row.bySender, Repeatable: true,
 			})
 			c.Check(delivery.Report.Reason, qt.Equals, hop.ReasonCrashed)
-			c.Check(ledger.Assess(other[0].Fingerprint).Standing, qt.Equals, row.want)
+			c.Check(ledger.Assess(running[0].Fingerprint).Standing, qt.Equals, row.want)
 		})
 	}
 }
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -16,23 +16,23 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// send sends the request to the instance and judges its answer.
+// send sends the request to the instance and classifies the result.
 func (p *Proxy) send(ctx context.Context, request *message.Request, order hop.Order, deadline time.Time, slot *queue.Slot) Delivery {
 	started := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, deadline)
-	response, err := p.instance.Do(ctx, p.outgoing(request, order, deadline))
+	response, err := p.instance.Do(ctx, p.instanceRequest(request, order, deadline))
 	if err != nil {
 		cancel()
-		delivery := p.failed(err, request, order, slot)
+		delivery := p.sendFailure(err, request, order, slot)
 		delivery.Report.Execution = time.Since(started)
 		return delivery
 	}
-	if reason := p.rejected(response); reason != hop.ReasonNone {
+	if reason := p.rejectionReason(response); reason != hop.ReasonNone {
 		response.Discard()
 		cancel()
 		slot.Release(false)
 		if reason == hop.ReasonWrongInstance {
-			p.ended.add(p.lifeOf(order.Instance))
+			p.stale.add(p.lifeOf(order.Instance))
 		}
 		return Delivery{Report: p.report(hop.Rejected, reason)}
 	}
@@ -42,10 +42,10 @@
 		slot.Release(true)
 		return Delivery{Report: p.report(hop.Unknown, hop.ReasonInvalid), Err: errNoStamp}
 	}
-	return p.passOn(response, request, order, started, slot, cancel)
+	return p.forwardResponse(response, request, order, started, slot, cancel)
 }
 
-// lifeOf returns the life of an instance that is listed now.
+// lifeOf returns the current life of an instance, or just its name if it is not listed.
 func (p *Proxy) lifeOf(name string) snapshot.Life {
 	if current := p.options.Snapshots.Current(); current != nil {
 		if instance, listed := current.Instance(name); listed {
@@ -55,10 +55,10 @@
 	return snapshot.Life{Name: name}
 }
 
-var errNoStamp = errors.New("the answer does not bear the instance's mark")
+var errNoStamp = errors.New("the instance's response lacks the required stamp header")
 
-// outgoing is the request as the instance gets it.
-func (p *Proxy) outgoing(request *message.Request, order hop.Order, deadline time.Time) *client.Request {
+// instanceRequest returns the request as it is sent to the instance.
+func (p *Proxy) instanceRequest(request *message.Request, order hop.Order, deadline time.Time) *client.Request {
 	names := p.options.Names
 	header := maps.Clone(request.Header)
 	remaining := time.Until(deadline)
@@ -74,7 +74,7 @@
 		Header: header, Body: request.Body, ID: request.ID,
 	}
 	if !order.Repeatable && p.options.Mechanisms.RestLimit {
-		sent.MaxRest = p.options.MaxRestOnce
+		sent.MaxRest = p.options.MaxIdleNonRepeatable
 	}
 	return sent
 }
@@ -85,8 +85,9 @@
 	}
 }
 
-// rejected tells why the instance says that it did not run the request.
-func (p *Proxy) rejected(response *client.Response) hop.Reason {
+// rejectionReason returns why the instance did not execute the request according to its
+// response, or ReasonNone if it did.
+func (p *Proxy) rejectionReason(response *client.Response) hop.Reason {
 	switch name := p.options.Names.NotExecuted; {
 	case response.Status == http.StatusMisdirectedRequest:
 		return hop.ReasonWrongInstance
@@ -97,8 +98,8 @@
 	}
 }
 
-// failed judges a send without an answer.
-func (p *Proxy) failed(err error, request *message.Request, order hop.Order, slot *queue.Slot) Delivery {
+// sendFailure classifies a send that got no response.
+func (p *Proxy) sendFailure(err error, request *message.Request, order hop.Order, slot *queue.Slot) Delivery {
 	var failure *client.Error
 	if !errors.As(err, &failure) {
 		failure = &client.Error{Progress: client.SentWhole, Err: err}
@@ -108,37 +109,38 @@
 	case failure.Progress == client.NotSent:
 		return Delivery{Report: p.report(hop.Refused, hop.ReasonConnect), Err: err}
 	case errors.Is(err, context.DeadlineExceeded):
-		p.crashes.givenUp(inProgress(request, order), time.Now())
+		p.crashes.noteAbandoned(newRunInProgress(request, order), time.Now())
 		return Delivery{Report: p.report(hop.Unknown, hop.ReasonDeadline), Err: err}
 	case errors.Is(err, context.Canceled):
-		p.crashes.givenUp(inProgress(request, order), time.Now())
+		p.crashes.noteAbandoned(newRunInProgress(request, order), time.Now())
 		return Delivery{Report: p.report(hop.Unknown, hop.ReasonCancelled), Err: err}
 	case failure.Invalid:
 		return Delivery{Report: p.report(hop.Unknown, hop.ReasonInvalid), Err: err}
 	default:
-		return p.broken(err, request, order)
+		return p.brokenConnection(err, request, order)
 	}
 }
 
-// broken judges a send whose connection broke before the whole answer was there.
-func (p *Proxy) broken(err error, request *message.Request, order hop.Order) Delivery {
+// brokenConnection classifies a send whose connection broke before the response was
+// complete.
+func (p *Proxy) brokenConnection(err error, request *message.Request, order hop.Order) Delivery {
 	reason := hop.ReasonBroken
-	if p.crashes.broken(inProgress(request, order)) {
+	if p.crashes.connectionLost(newRunInProgress(request, order)) {
 		reason = hop.ReasonCrashed
 	}
 	return Delivery{Report: p.report(hop.Unknown, reason), Err: err}
 }
 
-// passOn passes an answer on: a short one once it is whole, a long one or a
-// stream of events as it comes.
-func (p *Proxy) passOn(response *client.Response, request *message.Request, order hop.Order, started time.Time, slot *queue.Slot, cancel func()) Delivery {
+// forwardResponse forwards a response: a short one once it is complete, a long one or an
+// event stream as it arrives.
+func (p *Proxy) forwardResponse(response *client.Response, request *message.Request, order hop.Order, started time.Time, slot *queue.Slot, cancel func()) Delivery {
 	answer := &message.Answer{Status: response.Status, Header: response.Header, Length: response.Length}
 	message.StripHopByHop(answer.Header)
-	body, whole, err := response.Hold()
+	body, complete, err := response.Hold()
 	if err == nil {
-		p.answered(request)
+		p.clearSuspicion(request)
 	}
-	if err == nil && !whole {
+	if err == nil && !complete {
 		answer.Body, answer.Stream = body, &stream{response: response, slot: slot, cancel: cancel}
 		return Delivery{Report: p.report(hop.Answered, hop.ReasonNone), Answer: answer}
 	}
@@ -146,19 +148,19 @@
 	cancel()
 	slot.Release(true)
 	if err != nil {
-		return p.broken(err, request, order)
+		return p.brokenConnection(err, request, order)
 	}
 	answer.Body, answer.Length = body, int64(len(body))
 	execution := time.Since(started)
 	if answer.Status < http.StatusMultipleChoices {
-		p.speed.note(execution, order.Ordinary)
+		p.speed.record(execution, order.Ordinary)
 	}
 	report := p.report(hop.Answered, hop.ReasonNone)
 	report.Execution = execution
 	return Delivery{Report: report, Answer: answer}
 }
 
-// stream is the rest of an answer; the slot is held until it is closed.
+// stream is the rest of a response. The slot is held until the stream is closed.
 type stream struct {
 	response *client.Response
 	slot     *queue.Slot
@@ -166,10 +168,10 @@
 	run      *budget.Run
 }
 
-// Read reads the answer of the instance.
+// Read reads the response of the instance.
 func (s *stream) Read(data []byte) (int, error) { return s.response.Body.Read(data) }
 
-// Close gives the slot back.
+// Close closes the response and releases the slot.
 func (s *stream) Close() error {
 	err := s.response.Close()
 	s.cancel()
--- a/internal/dataplane/inbound/speed.go
+++ b/internal/dataplane/inbound/speed.go
@@ -6,41 +6,43 @@
 )
 
 const (
-	// speedWeight is the weight of one request in the speed: one in so many.
-	speedWeight = 48
-	// Bounds of one measurement: one request says little.
-	leastRatio, mostRatio = 0.1, 6.0
-	// leastRequests are measured before the speed is told.
-	leastRequests = 8
+	// speedSmoothing is the inverse weight of one request in the estimate.
+	speedSmoothing = 48
+	// Bounds of a single measurement, which limit the influence of outliers.
+	minRatio, maxRatio = 0.1, 6.0
+	// minSamples is the number of measurements before the estimate is reported.
+	minSamples = 8
 )
 
-// speed is how many times as long as ordinary the instance takes, by all requests that
-// came through this node: it is known here sooner and better than to each sender.
-type speed struct {
-	mutex    sync.Mutex
-	ratio    float64
-	requests int
+// speedEstimate estimates the ratio of the instance's processing times to ordinary ones. It
+// includes the requests of all senders and is therefore available sooner and more accurate
+// than an estimate of each sender.
+type speedEstimate struct {
+	mutex   sync.Mutex
+	ratio   float64
+	samples int
 }
 
-// note takes over how long the instance worked on a request for which an ordinary one
-// needs that long.
-func (s *speed) note(execution, ordinary time.Duration) {
+// record records the processing time of a request and the time that an ordinary instance
+// needs for it.
+func (s *speedEstimate) record(execution, ordinary time.Duration) {
 	if ordinary <= 0 || execution <= 0 {
 		return
 	}
-	ratio := min(max(float64(execution)/float64(ordinary), leastRatio), mostRatio)
+	ratio := min(max(float64(execution)/float64(ordinary), minRatio), maxRatio)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.requests++
-	weight := max(1/float64(s.requests), 1.0/speedWeight)
+	s.samples++
+	weight := max(1/float64(s.samples), 1.0/speedSmoothing)
 	s.ratio += (ratio - s.ratio) * weight
 }
 
-// hundredths is the speed as a report tells it; zero: not known yet.
-func (s *speed) hundredths() int {
+// hundredths returns the estimate in hundredths, as it is reported, or zero if it is not
+// known yet.
+func (s *speedEstimate) hundredths() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.requests < leastRequests {
+	if s.samples < minSamples {
 		return 0
 	}
 	return max(int(s.ratio*100), 1)
--- a/internal/dataplane/inbound/speed_test.go
+++ b/internal/dataplane/inbound/speed_test.go
@@ -7,26 +7,26 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestSpeed: the ratio to ordinary instances is told once enough requests were
-// measured, follows a change, and no single request moves it much.
+// TestSpeed checks that the ratio to ordinary instances is reported once enough requests were
+// measured, that it follows a change, and that no single request changes it much.
 func TestSpeed(t *testing.T) {
 	const ordinary = 100 * time.Millisecond
 	c := qt.New(t)
-	var measured speed
-	for range leastRequests - 1 {
-		measured.note(2*ordinary, ordinary)
+	var measured speedEstimate
+	for range minSamples - 1 {
+		measured.record(2*ordinary, ordinary)
 	}
 	c.Check(measured.hundredths(), qt.Equals, 0)
-	measured.note(2*ordinary, ordinary)
+	measured.record(2*ordinary, ordinary)
 	c.Check(measured.hundredths(), qt.Equals, 200)
 	for range 300 {
-		measured.note(ordinary/2, ordinary)
+		measured.record(ordinary/2, ordinary)
 	}
 	c.Check(measured.hundredths() < 60, qt.IsTrue)
 	before := measured.hundredths()
-	measured.note(time.Hour, ordinary)
+	measured.record(time.Hour, ordinary)
 	c.Check(measured.hundredths() < before+20, qt.IsTrue)
-	measured.note(time.Second, 0) // nothing to compare with
-	measured.note(0, ordinary)
+	measured.record(time.Second, 0) // ordinary time not known
+	measured.record(0, ordinary)
 	c.Check(measured.hundredths() < before+20, qt.IsTrue)
 }
--- a/internal/dataplane/queue/queue.go
+++ b/internal/dataplane/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue gives out the slots of one instance: to the most urgent request
-// first, among equals to those whose answer is worth most, then to the one that is due
-// first, short ones before long ones, and
-// only to requests that will still be in time. What it refuses, it refuses at once.
+// Package queue grants the slots of one instance to requests. Requests are ordered by
+// priority, then by the value of their answer, then by due time, with short requests
+// preferred over long ones. Slots go only to requests that can still meet their deadline;
+// all others are refused as early as possible.
 package queue
 
 import (
@@ -11,88 +11,90 @@
 	"time"
 )
 
-// Refusal tells why a request got no slot.
+// Refusal is the reason why a request got no slot.
 type Refusal uint8
 
 // The refusals.
 const (
 	// None: the request got a slot.
 	None Refusal = 0
-	// Busy: the wait would be, or was, longer than the request may wait.
+	// Busy: the expected or actual wait exceeds the time that the request may wait.
 	Busy Refusal = 1
-	// Expired: it is too late to begin with the request.
+	// Expired: the latest start of the request has passed.
 	Expired Refusal = 2
-	// Cancelled: the sender left.
+	// Cancelled: the sender cancelled the request.
 	Cancelled Refusal = 3
-	// Paced: slots are free, but the instance may not begin with so many requests.
-	Paced Refusal = 4
+	// RateLimited: the rate limit, rather than the lack of a slot, makes the wait too long.
+	RateLimited Refusal = 4
 )
 
-// Value tells what an answer is still worth to its caller.
+// Value is how much an answer is still worth to its caller.
 type Value uint8
 
 // The values, the greatest first.
 const (
-	// Full: it can be in time, counted from the caller's first attempt.
+	// Full: the answer can be in time, counted from the caller's first attempt.
 	Full Value = 0
-	// Reduced: the caller was refused before; it can be in time from this attempt.
+	// Reduced: the caller was refused before. The answer can be in time, counted from this
+	// attempt.
 	Reduced Value = 1
-	// Late: it will most likely be late.
+	// Late: the answer will most likely be late.
 	Late Value = 2
 )
 
 // Ticket is a request for a slot.
 type Ticket struct {
-	// Priority is the rank; 0 goes first.
+	// Priority is the rank of the request; 0 is the most urgent.
 	Priority int
-	// Value orders the requests of one priority: a slot goes where it brings most.
+	// Value orders the requests of one priority: those with the most valuable answers go first.
 	Value Value
-	// Due is when the instance should begin.
+	// Due is when the instance should start to process the request.
 	Due time.Time
-	// LatestStart is when the instance must begin for the request to be in time.
+	// LatestStart is the latest start with which the request can still meet its deadline.
 	LatestStart time.Time
 	// MaxWait is how long the request may wait.
 	MaxWait time.Duration
-	// Expected is how long the instance is expected to work on the request; zero
-	// takes the mean of all.
+	// Expected is the expected processing time; zero stands for the mean of all requests.
 	Expected time.Duration
-	// Length is the same as far as short requests go before long ones.
+	// Length is the processing time by which short requests are preferred over long ones;
+	// zero disables this for the request.
 	Length time.Duration
-	// OnlyCandidate says that the request can be brought to no other instance: while less
-	// urgent ones wait as well, it waits beyond MaxWait, up to LatestStart, as the next
-	// slot would go to them instead.
+	// OnlyCandidate is set if no other instance can take the request. While less urgent
+	// requests wait as well, it then waits beyond MaxWait, up to LatestStart, because the
+	// next slot would go to them instead.
 	OnlyCandidate bool
 }
 
-// Usage counts what is held and what waits.
+// Usage is the number of requests that hold a slot, that wait for one, and of all slots.
 type Usage struct {
 	Running, Waiting, Slots int
 }
 
 // Queue is safe for concurrent use.
 type Queue struct {
-	pace Pace
+	limiter RateLimiter
 
 	mutex sync.Mutex
-	// wakes is set while a timer is pending at which the pace lets a waiter begin.
-	wakes   bool
-	slots   int
-	running int
-	waiting waiters
-	// service is the mean time that a request holds a slot.
-	service time.Duration
-	started map[*Slot]time.Time
+	// timerPending is set while a timer of scheduleGrant runs.
+	timerPending bool
+	slots        int
+	running      int
+	waiting      waiters
+	// serviceTime is the mean time for which a request holds a slot.
+	serviceTime time.Duration
+	started     map[*Slot]time.Time
 }
 
-// initialService is the mean time of a request before any was measured.
-const initialService = 100 * time.Millisecond
+// initialServiceTime is assumed as the mean service time before any request has ended.
+const initialServiceTime = 100 * time.Millisecond
 
-// New returns a Queue for so many slots.
-func New(slots int) *Queue { return NewPaced(slots, unpaced{}) }
+// New returns a Queue with the given number of slots.
+func New(slots int) *Queue { return NewRateLimited(slots, unlimited{}) }
 
-// NewPaced returns a Queue for so many slots whose requests begin as the pace allows.
-func NewPaced(slots int, pace Pace) *Queue {
-	return &Queue{pace: pace, slots: max(slots, 1), service: initialService, started: make(map[*Slot]time.Time)}
+// NewRateLimited returns a Queue with the given number of slots and a limit on the rate at
+// which requests start.
+func NewRateLimited(slots int, limiter RateLimiter) *Queue {
+	return &Queue{limiter: limiter, slots: max(slots, 1), serviceTime: initialServiceTime, started: make(map[*Slot]time.Time)}
 }
 
 // SetSlots changes the number of slots.
@@ -100,17 +102,17 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.slots = max(slots, 1)
-	q.promote(time.Now())
+	q.grantWaiting(time.Now())
 }
 
-// Usage returns the counts of now.
+// Usage returns the current usage.
 func (q *Queue) Usage() Usage {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return Usage{Running: q.running, Waiting: q.waiting.Len(), Slots: q.slots}
 }
 
-// Wait is how long a request would wait for a slot now.
+// Wait returns how long a request that arrives now would wait for a slot.
 func (q *Queue) Wait(ticket Ticket) time.Duration {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -118,7 +120,7 @@
 	return wait
 }
 
-// Backlog is how long the slots are taken by what holds them and what waits.
+// Backlog returns the expected time until all running and waiting requests have ended.
 func (q *Queue) Backlog() time.Duration {
 	now := time.Now()
 	q.mutex.Lock()
@@ -133,21 +135,21 @@
 	return total / time.Duration(q.slots)
 }
 
-// Slot is the right to send one request to the instance.
+// Slot is the permission to send one request to the instance.
 type Slot struct {
 	queue    *Queue
 	once     sync.Once
 	expected time.Duration
 }
 
-// Release gives the slot to the next request. ran says whether the instance
-// worked on the request, so that its time counts.
+// Release passes the slot to the next request. If ran is set, the instance processed the
+// request, and its time counts towards the mean service time.
 func (s *Slot) Release(ran bool) {
 	s.once.Do(func() { s.queue.release(s, ran) })
 }
 
-// Acquire waits for a slot. Without one it tells why, and after which time a slot
-// is likely to be free.
+// Acquire waits for a slot. If it returns none, it returns the reason and the time after
+// which a slot is likely to be free.
 func (q *Queue) Acquire(ctx context.Context, ticket Ticket) (*Slot, Refusal, time.Duration) {
 	now := time.Now()
 	q.mutex.Lock()
@@ -155,93 +157,94 @@
 		q.mutex.Unlock()
 		return nil, refusal, wait
 	}
-	if q.running < q.slots && q.waiting.Len() == 0 && q.pace.Begin(now) == 0 {
+	if q.running < q.slots && q.waiting.Len() == 0 && q.limiter.Begin(now) == 0 {
 		slot := q.grant(ticket, now)
 		q.mutex.Unlock()
 		return slot, None, 0
 	}
-	waiter := &waiter{ticket: ticket, granted: make(chan verdict, 1)}
+	waiter := &waiter{ticket: ticket, result: make(chan grantResult, 1)}
 	heap.Push(&q.waiting, waiter)
-	q.promote(now)
+	q.grantWaiting(now)
 	q.mutex.Unlock()
 	return q.await(ctx, waiter)
 }
 
-// Refusal tells whether a request would be refused now, why, and after which time a slot
-// is likely to be free. Nothing is taken or kept for it.
+// Refusal reports whether and why a request would be refused now, and after which time a
+// slot is likely to be free. It neither takes nor reserves a slot.
 func (q *Queue) Refusal(ticket Ticket) (Refusal, time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.refusal(ticket, time.Now())
 }
 
-// refusal is Refusal at a moment. The mutex is held.
+// refusal implements Refusal for the given time. The caller must hold the mutex.
 func (q *Queue) refusal(ticket Ticket, now time.Time) (Refusal, time.Duration) {
 	if !ticket.LatestStart.After(now) {
 		return Expired, 0
 	}
-	most := ticket.MaxWait
+	maxWait := ticket.MaxWait
 	if ticket.OnlyCandidate && q.waiting.hasLessUrgent(ticket) {
-		most = ticket.LatestStart.Sub(now)
+		maxWait = ticket.LatestStart.Sub(now)
 	}
 	wait, refusal := q.expectedWait(ticket, now)
-	if wait > most || now.Add(wait).After(ticket.LatestStart) {
+	if wait > maxWait || now.Add(wait).After(ticket.LatestStart) {
 		return refusal, wait
 	}
 	return None, 0
 }
 
-// await waits for the slot of a waiter. More urgent requests may come in between
-// for longer than was expected.
+// await waits until the waiter gets a slot or is refused. More urgent requests that arrive
+// later may delay it for longer than was expected.
 func (q *Queue) await(ctx context.Context, waiter *waiter) (*Slot, Refusal, time.Duration) {
-	patience := min(waiter.ticket.MaxWait, time.Until(waiter.ticket.LatestStart))
-	timer := time.NewTimer(patience)
+	maxWait := min(waiter.ticket.MaxWait, time.Until(waiter.ticket.LatestStart))
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	refusal, removed := Cancelled, false
-	for waits := true; waits; {
+	for pending := true; pending; {
 		select {
-		case given := <-waiter.granted:
-			return given.slot, given.refusal, q.meanService()
+		case received := <-waiter.result:
+			return received.slot, received.refusal, q.meanServiceTime()
 		case <-timer.C:
 			refusal = Busy
-			var more time.Duration
-			if removed, more = q.leave(waiter); more > 0 {
-				timer.Reset(more)
+			var extension time.Duration
+			if removed, extension = q.expireWait(waiter); extension > 0 {
+				timer.Reset(extension)
 				continue
 			}
 		case <-ctx.Done():
 			removed = q.remove(waiter)
 		}
-		waits = false
+		pending = false
 	}
 	if removed {
-		return nil, refusal, q.meanService()
+		return nil, refusal, q.meanServiceTime()
 	}
-	given := <-waiter.granted // it came meanwhile
-	if refusal == Cancelled && given.slot != nil {
-		given.slot.Release(false)
+	received := <-waiter.result // sent before the waiter could be removed
+	if refusal == Cancelled && received.slot != nil {
+		received.slot.Release(false)
 		return nil, refusal, 0
 	}
-	return given.slot, given.refusal, q.meanService()
+	return received.slot, received.refusal, q.meanServiceTime()
 }
 
-// leave takes a waiter out whose patience is over, unless it may go on waiting, and
-// tells for how long. It then waits behind those of its priority that can still begin
-// when they are due.
-func (q *Queue) leave(waiter *waiter) (removed bool, more time.Duration) {
+// expireWait removes a waiter whose maximum wait is over, or returns for how long it may
+// continue to wait. A waiter that continues goes behind those of its priority that can
+// still start when they are due.
+func (q *Queue) expireWait(waiter *waiter) (removed bool, extension time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if waiter.ticket.OnlyCandidate && q.waiting.hasLessUrgent(waiter.ticket) {
-		if more = time.Until(waiter.ticket.LatestStart); more > 0 {
+		if extension = time.Until(waiter.ticket.LatestStart); extension > 0 {
 			q.waiting.postpone(waiter)
-			return false, min(more, stayInterval)
+			return false, min(extension, recheckInterval)
 		}
 	}
 	return q.waiting.remove(waiter), 0
 }
 
-// stayInterval is the time between two looks at whether a waiter stays.
-const stayInterval = 20 * time.Millisecond
+// recheckInterval is the time between two checks of whether a waiter beyond its maximum
+// wait may continue to wait.
+const recheckInterval = 20 * time.Millisecond
 
 func (q *Queue) remove(waiter *waiter) bool {
 	q.mutex.Lock()
@@ -249,40 +252,41 @@
 	return q.waiting.remove(waiter)
 }
 
-func (q *Queue) meanService() time.Duration {
+func (q *Queue) meanServiceTime() time.Duration {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.service
+	return q.serviceTime
 }
 
-// expectedWait is how long a request would wait: until a slot is free, and while
-// those before it begin; and what it would be refused for. The mutex is held.
+// expectedWait returns how long a request would wait until those before it have started
+// and a slot is free, and the reason if it were refused for that. The caller must hold the
+// mutex.
 func (q *Queue) expectedWait(ticket Ticket, now time.Time) (time.Duration, Refusal) {
 	count, work := 0, time.Duration(0)
 	for _, other := range q.waiting {
-		if other.ticket.goesBefore(ticket) {
+		if other.ticket.precedes(ticket) {
 			count++
 			work += q.expected(other.ticket)
 		}
 	}
 	if q.running >= q.slots {
-		work += q.service // until the first of the slots is free
+		work += q.serviceTime // until the next slot is free
 	}
-	forSlot, forPace := work/time.Duration(q.slots), q.pace.Delay(count, now)
-	if forPace > forSlot {
-		return forPace, Paced
+	slotWait, rateWait := work/time.Duration(q.slots), q.limiter.Delay(count, now)
+	if rateWait > slotWait {
+		return rateWait, RateLimited
 	}
-	return forSlot, Busy
+	return slotWait, Busy
 }
 
 func (q *Queue) expected(ticket Ticket) time.Duration {
 	if ticket.Expected > 0 {
 		return ticket.Expected
 	}
-	return q.service
+	return q.serviceTime
 }
 
-// grant takes a slot. The mutex is held.
+// grant takes a slot for a request. The caller must hold the mutex.
 func (q *Queue) grant(ticket Ticket, now time.Time) *Slot {
 	q.running++
 	slot := &Slot{queue: q, expected: q.expected(ticket)}
@@ -290,8 +294,8 @@
 	return slot
 }
 
-// serviceWeight is the weight of a new measurement in the mean: one in so many.
-const serviceWeight = 16
+// serviceTimeSmoothing is the inverse weight of a new measurement in the mean service time.
+const serviceTimeSmoothing = 16
 
 func (q *Queue) release(slot *Slot, ran bool) {
 	now := time.Now()
@@ -299,26 +303,26 @@
 	defer q.mutex.Unlock()
 	if ran {
 		held := now.Sub(q.started[slot])
-		q.service += (held - q.service) / serviceWeight
+		q.serviceTime += (held - q.serviceTime) / serviceTimeSmoothing
 	}
 	delete(q.started, slot)
 	q.running--
-	q.promote(now)
+	q.grantWaiting(now)
 }
 
-// promote gives free slots to waiters. The mutex is held.
-func (q *Queue) promote(now time.Time) {
+// grantWaiting grants free slots to waiters. The caller must hold the mutex.
+func (q *Queue) grantWaiting(now time.Time) {
 	for q.running < q.slots && q.waiting.Len() > 0 {
 		if next := q.waiting[0]; !next.ticket.LatestStart.After(now) {
 			heap.Pop(&q.waiting)
-			next.granted <- verdict{refusal: Expired}
+			next.result <- grantResult{refusal: Expired}
 			continue
 		}
-		if delay := q.pace.Begin(now); delay > 0 {
-			q.promoteAfter(delay)
+		if delay := q.limiter.Begin(now); delay > 0 {
+			q.scheduleGrant(delay)
 			return
 		}
 		next := heap.Pop(&q.waiting).(*waiter)
-		next.granted <- verdict{slot: q.grant(next.ticket, now)}
+		next.result <- grantResult{slot: q.grant(next.ticket, now)}
 	}
 }
--- a/internal/dataplane/queue/queue_test.go
+++ b/internal/dataplane/queue/queue_test.go
@@ -16,14 +16,14 @@
 	return queue.Ticket{Priority: priority, Due: now.Add(maxWait), LatestStart: now.Add(time.Hour), MaxWait: maxWait}
 }
 
-// take gets the only slot.
+// take acquires the only slot.
 func take(c *qt.C, q *queue.Queue) *queue.Slot {
 	slot, refusal, _ := q.Acquire(context.Background(), ticket(0, time.Hour))
 	c.Assert(refusal, qt.Equals, queue.None)
 	return slot
 }
 
-func TestMostUrgentGoesFirst(t *testing.T) {
+func TestMostUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		q := queue.New(1)
@@ -44,9 +44,9 @@
 	})
 }
 
-// TestDueFirstAmongEquals: a request that may wait only shortly, such as a call
-// made for another request, goes before one that has more time.
-func TestDueFirstAmongEquals(t *testing.T) {
+// TestEarlierDueFirst checks that of two requests of the same priority, the one with less
+// time to wait, such as a call made for another request, gets the slot first.
+func TestEarlierDueFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		q := queue.New(1)
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestValueBeforeTurn: of one priority, a request that can be in time goes before one
-// that was there earlier and cannot; priority goes before value.
-func TestValueBeforeTurn(t *testing.T) {
+// TestValueBeforeDueTime checks that within one priority, a request whose answer can be in
+// time precedes an earlier one that will be late, and that priority precedes value.
+func TestValueBeforeDueTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		q := queue.New(1)
@@ -85,18 +85,18 @@
 			synctest.Wait()
 		}
 		enqueue("late", 1, queue.Late)
-		enqueue("returned", 1, queue.Reduced)
+		enqueue("retried", 1, queue.Reduced)
 		enqueue("less urgent", 2, queue.Full)
 		enqueue("new", 1, queue.Full)
 		held.Release(true)
-		for _, want := range []string{"new", "returned", "late", "less urgent"} {
+		for _, want := range []string{"new", "retried", "late", "less urgent"} {
 			c.Check(<-order, qt.Equals, want)
 		}
 	})
 }
 
-// TestShortBeforeLong: a short request goes before a long one that is due a little
-// earlier, and after one that is due long before.
+// TestShortBeforeLong checks that a short request precedes a long one that is due slightly
+// earlier, but not one that is due much earlier.
 func TestShortBeforeLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -114,18 +114,18 @@
 			synctest.Wait()
 		}
 		enqueue("long", 100*time.Millisecond, 200*time.Millisecond)
-		enqueue("long, due before", -time.Second, 200*time.Millisecond)
+		enqueue("long, due much earlier", -time.Second, 200*time.Millisecond)
 		enqueue("short", 150*time.Millisecond, 20*time.Millisecond)
 		held.Release(true)
-		for _, want := range []string{"long, due before", "short", "long"} {
+		for _, want := range []string{"long, due much earlier", "short", "long"} {
 			c.Check(<-order, qt.Equals, want)
 		}
 	})
 }
 
-// TestWaitEndsInTime: a request that waited as long as it may is refused at once,
-// however long more urgent ones go on.
-func TestWaitEndsInTime(t *testing.T) {
+// TestMaxWaitIsKept checks that a request is refused as soon as its maximum wait is over,
+// however long the slot stays taken.
+func TestMaxWaitIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		q := queue.New(1)
@@ -139,7 +139,7 @@
 	})
 }
 
-func TestTooLateToBegin(t *testing.T) {
+func TestExpiredRequestIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		q := queue.New(1)
@@ -150,7 +150,7 @@
 	})
 }
 
-func TestSenderThatLeavesHoldsNothing(t *testing.T) {
+func TestCancelledRequestHoldsNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		q := queue.New(1)
@@ -169,7 +169,7 @@
 	})
 }
 
-func TestLongQueueRefusesAtOnce(t *testing.T) {
+func TestLongQueueRefusesImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		q := queue.New(1)
@@ -189,39 +189,39 @@
 	})
 }
 
-func TestMoreSlotsLetWaitersIn(t *testing.T) {
+func TestMoreSlotsAdmitWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		q := queue.New(1)
 		held := take(c, q)
-		in := make(chan *queue.Slot)
+		granted := make(chan *queue.Slot)
 		go func() {
 			slot, _, _ := q.Acquire(context.Background(), ticket(0, time.Hour))
-			in <- slot
+			granted <- slot
 		}()
 		synctest.Wait()
 		q.SetSlots(2)
-		(<-in).Release(true)
+		(<-granted).Release(true)
 		held.Release(true)
-		held.Release(true) // a second release changes nothing
+		held.Release(true) // a second release has no effect
 		c.Check(q.Usage(), qt.Equals, queue.Usage{Slots: 2})
 	})
 }
 
-// TestStaysBeforeLessUrgent: an urgent request that has nowhere else to go keeps its
-// place before less urgent ones, which would get the next slot instead.
-func TestStaysBeforeLessUrgent(t *testing.T) {
+// TestOnlyCandidateWaitsOn guards against an urgent request that no other instance can take
+// being refused at its maximum wait, while less urgent requests get the next slot instead.
+func TestOnlyCandidateWaitsOn(t *testing.T) {
 	rows := map[string]struct {
-		stays        bool
-		others       []int // priorities of those that wait already
-		latest, held time.Duration
-		want         queue.Refusal
+		onlyCandidate bool
+		others        []int // priorities of the requests that wait already
+		latest, held  time.Duration
+		want          queue.Refusal
 	}{
-		"stays":                       {true, []int{2}, time.Hour, time.Second, queue.None},
-		"may go elsewhere":            {false, []int{2}, time.Hour, time.Second, queue.Busy},
-		"among equals":                {true, []int{1}, time.Hour, time.Second, queue.Busy},
-		"nobody else waits":           {true, nil, time.Hour, time.Second, queue.Busy},
-		"no longer than it is of use": {true, []int{2}, 500 * time.Millisecond, time.Second, queue.Busy},
+		"only candidate":              {true, []int{2}, time.Hour, time.Second, queue.None},
+		"other candidates left":       {false, []int{2}, time.Hour, time.Second, queue.Busy},
+		"others are as urgent":        {true, []int{1}, time.Hour, time.Second, queue.Busy},
+		"no others wait":              {true, nil, time.Hour, time.Second, queue.Busy},
+		"not beyond the latest start": {true, []int{2}, 500 * time.Millisecond, time.Second, queue.Busy},
 	}
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
@@ -237,9 +237,9 @@
 					}()
 					synctest.Wait()
 				}
-				time.AfterFunc(row.held, func() { first.Release(true) }) // on the test's own clock
+				time.AfterFunc(row.held, func() { first.Release(true) }) // on the fake clock of synctest
 				urgent := ticket(1, 150*time.Millisecond)
-				urgent.LatestStart, urgent.OnlyCandidate, urgent.Expected = time.Now().Add(row.latest), row.stays, time.Millisecond
+				urgent.LatestStart, urgent.OnlyCandidate, urgent.Expected = time.Now().Add(row.latest), row.onlyCandidate, time.Millisecond
 				slot, refusal, _ := q.Acquire(context.Background(), urgent)
 				c.Check(refusal, qt.Equals, row.want)
 				if slot != nil {
--- a/internal/dataplane/queue/pace_test.go
+++ b/internal/dataplane/queue/rate_limit_test.go
@@ -12,18 +12,19 @@
 	"github.com/winchhead/winchhead/internal/dataplane/queue"
 )
 
-// TestPacedRequestsWaitTheirTurn: with slots free, requests begin as the pace allows, the
-// most urgent first; one that may not wait that long is refused at once, as paced.
-func TestPacedRequestsWaitTheirTurn(t *testing.T) {
+// TestRateLimitedRequestsStartInOrder checks that with free slots, requests start as the
+// rate limit allows, the most urgent first. A request that may not wait that long is
+// refused immediately, as rate limited.
+func TestRateLimitedRequestsStartInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		now := time.Now()
 		limit := coldstart.NewLimit(now)
 		limit.Set(coldstart.Bounds{Rate: 1, Burst: 1}, now.Add(time.Hour), now)
-		q := queue.NewPaced(8, limit)
+		q := queue.NewRateLimited(8, limit)
 
 		_, refusal, wait := q.Acquire(context.Background(), ticket(0, 500*time.Millisecond))
-		c.Check(refusal, qt.Equals, queue.Paced)
+		c.Check(refusal, qt.Equals, queue.RateLimited)
 		c.Check(wait.Round(time.Millisecond), qt.Equals, time.Second)
 
 		order := make(chan int, 3)
@@ -42,14 +43,15 @@
 	})
 }
 
-// TestWarmthEndsTheWait: those who wait begin as soon as the instance is warm.
-func TestWarmthEndsTheWait(t *testing.T) {
+// TestWarmInstanceEndsTheWait checks that waiting requests start as soon as the instance
+// is warm.
+func TestWarmInstanceEndsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		now := time.Now()
 		limit := coldstart.NewLimit(now)
 		limit.Set(coldstart.Bounds{Rate: 0.1, Burst: 1}, now.Add(2*time.Second), now)
-		q := queue.NewPaced(4, limit)
+		q := queue.NewRateLimited(4, limit)
 		begun := make(chan time.Duration, 4)
 		for range 4 {
 			go func() {
--- a/internal/dataplane/queue/waiters.go
+++ b/internal/dataplane/queue/waiters.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// verdict is a slot or a refusal.
-type verdict struct {
+// grantResult is a slot or a refusal.
+type grantResult struct {
 	slot    *Slot
 	refusal Refusal
 }
 
-// waiter is a request in the queue.
+// waiter is a queued request.
 type waiter struct {
-	ticket  Ticket
-	granted chan verdict // takes one without blocking
-	index   int
+	ticket Ticket
+	result chan grantResult // buffered, so that the single send never blocks
+	index  int
 }
 
-// lengthWeight is how much later a request goes for each unit of time that it
-// takes of the instance: many short requests are served in the time of a long one.
+// lengthWeight is how much later a request is ordered per unit of its processing time: many
+// short requests are served in the time of a long one.
 const lengthWeight = 4
 
-// turn is when the request's turn is among those of its priority.
-func (t Ticket) turn() time.Time { return t.Due.Add(lengthWeight * t.Length) }
+// effectiveDue returns the due time, adjusted for the length, by which requests of one
+// priority and value are ordered.
+func (t Ticket) effectiveDue() time.Time { return t.Due.Add(lengthWeight * t.Length) }
 
-// goesBefore reports whether the request goes before another.
-func (t Ticket) goesBefore(other Ticket) bool {
+// precedes reports whether the request gets a slot before the other.
+func (t Ticket) precedes(other Ticket) bool {
 	if t.Priority != other.Priority {
 		return t.Priority < other.Priority
 	}
 	if t.Value != other.Value {
 		return t.Value < other.Value
 	}
-	return t.turn().Before(other.turn())
+	return t.effectiveDue().Before(other.effectiveDue())
 }
 
-// waiters is a heap: the most urgent first, then the one that is due first.
+// waiters is a heap of queued requests, ordered by Ticket.precedes.
 type waiters []*waiter
 
-// hasLessUrgent reports whether a request of a later priority waits.
+// hasLessUrgent reports whether a request of a less urgent priority waits.
 func (w waiters) hasLessUrgent(ticket Ticket) bool {
 	for _, other := range w {
 		if other.ticket.Priority > ticket.Priority {
@@ -54,7 +55,7 @@
 
 // Less implements heap.Interface.
 func (w waiters) Less(i, j int) bool {
-	return w[i].ticket.goesBefore(w[j].ticket)
+	return w[i].ticket.precedes(w[j].ticket)
 }
 
 // Swap implements heap.Interface.
@@ -80,7 +81,7 @@
 	return removed
 }
 
-// postpone lets a waiter that is still there wait until it is of no more use.
+// postpone moves the due time of a waiter that is still queued to its latest start.
 func (w *waiters) postpone(late *waiter) {
 	if late.index < 0 {
 		return
@@ -89,7 +90,7 @@
 	heap.Fix(w, late.index)
 }
 
-// remove takes a waiter out and reports whether it was there.
+// remove removes a waiter and reports whether it was still queued.
 func (w *waiters) remove(gone *waiter) bool {
 	if gone.index < 0 || gone.index >= len(*w) || (*w)[gone.index] != gone {
 		return false
