--- a/internal/dataplane/transfer/gate.go
+++ b/internal/dataplane/transfer/gate.go
@@ -1,6 +1,6 @@
-// Package transfer admits large bodies to the link of a machine, one after the other
-// in the order of their worth, so that each is quick and what is small still passes.
-// Bodies that were not admitted have not been sent.
+// Package transfer admits large bodies to the network link of a machine one at a time, in
+// the order of the queue. Each body is then transferred quickly, and small messages are not
+// delayed. No part of a body is sent before it is admitted.
 package transfer
 
 import (
@@ -12,30 +12,31 @@
 )
 
 const (
-	// AskedBody is the size, in bytes, from which a body asks before it is sent. Below, the
-	// body costs a link no more than the question.
+	// AskedBody is the size in bytes from which the sender of a body asks for admission
+	// first. Sending a smaller body costs the link no more than asking.
 	AskedBody = 1 << 10
-	// LargeBody is the size, in bytes, from which a body waits for its turn on the link.
+	// LargeBody is the size in bytes from which a body waits until the link is free.
 	LargeBody = 16 << 10
-	// bodyShare is the part of a link that bodies may take. The rest is for calls, the
-	// links between nodes and the instance's own traffic.
+	// bodyShare is the share of a link's capacity that large bodies may use. The rest is
+	// left for calls, the connections between nodes and the instance's own traffic.
 	bodyShare = 0.93
-	// parallel is how many bodies are under way to one node at a time.
-	parallel = 1
-
-	// firstRate is believed of a link of which nothing is known, in bytes a second.
-	firstRate = 12.5e6
-	// rateHalfLife is how fast a rate that was seen is forgotten.
-	rateHalfLife = 30 * time.Second
-	// A body that takes leaseFactor times its time and leaseSlack more no longer keeps
-	// others waiting: its sender may have stopped.
+	// maxConcurrent is the number of bodies that are sent to one node at a time.
+	maxConcurrent = 1
+
+	// initialRate is assumed for a link of unknown capacity, in bytes per second.
+	initialRate = 12.5e6
+	// rateTTL is how long an observed rate is kept before a lower one replaces it.
+	rateTTL = 30 * time.Second
+	// A body that takes longer than leaseFactor times its expected duration plus leaseSlack
+	// no longer blocks others, as its sender may have stalled.
 	leaseFactor = 3
 	leaseSlack  = 100 * time.Millisecond
 )
 
 // Options set up a Gate.
 type Options struct {
-	// BytesPerSecond is the link's capacity; zero: it is learned from what is seen.
+	// BytesPerSecond is the link's capacity; zero means that it is estimated from the
+	// observed rates.
 	BytesPerSecond float64
 }
 
@@ -45,17 +46,18 @@
 	waiting *queue.Queue
 
 	mutex sync.Mutex
-	// rate is the best rate that was seen lately, in bytes a second, as of seenAt.
+	// rate is the highest recently observed rate, in bytes per second, and rateAt when it
+	// was observed.
 	rate   float64
-	seenAt time.Time
+	rateAt time.Time
 }
 
-// NewGate returns a Gate with nothing under way.
+// NewGate returns a Gate without transfers in progress.
 func NewGate(options Options) *Gate {
-	return &Gate{options: options, waiting: queue.New(parallel), rate: firstRate}
+	return &Gate{options: options, waiting: queue.New(maxConcurrent), rate: initialRate}
 }
 
-// Rate is the rate at which a body is expected to come, in bytes a second.
+// Rate returns the expected transfer rate of a body, in bytes per second.
 func (g *Gate) Rate() float64 {
 	if g.options.BytesPerSecond > 0 {
 		return bodyShare * g.options.BytesPerSecond
@@ -65,8 +67,8 @@
 	return g.rate
 }
 
-// Pace is the rate that the sender of a body must not exceed, in bytes a second; zero:
-// as fast as the link takes it.
+// Pace returns the rate that the sender of a body must not exceed, in bytes per second; zero
+// means no limit.
 func (g *Gate) Pace() int64 {
 	if g.options.BytesPerSecond <= 0 {
 		return 0
@@ -74,16 +76,17 @@
 	return int64(g.Rate())
 }
 
-// Duration is how long a body is expected to be under way.
+// Duration returns the expected transfer time of a body.
 func (g *Gate) Duration(bytes int64) time.Duration {
 	return time.Duration(float64(bytes) / g.Rate() * float64(time.Second))
 }
 
-// Backlog is how long the bodies that were admitted or wait will take.
+// Backlog returns the expected time until all admitted and waiting bodies are transferred.
 func (g *Gate) Backlog() time.Duration { return g.waiting.Backlog() }
 
-// Acquire waits until a body may be sent. Its Expected is how long it is under way;
-// without a Grant it tells why, and after which time one is likely.
+// Acquire waits until a body may be sent. It sets the ticket's Expected and Length to the
+// transfer time of the body. If it returns no Grant, it returns the reason and the time
+// after which one is likely.
 func (g *Gate) Acquire(ctx context.Context, ticket queue.Ticket, bytes int64) (*Grant, queue.Refusal, time.Duration) {
 	ticket.Expected = g.Duration(bytes)
 	ticket.Length = ticket.Expected
@@ -96,18 +99,18 @@
 	return grant, queue.None, 0
 }
 
-// note takes over the rate of a body that came whole.
-func (g *Gate) note(bytes int64, lasted time.Duration) {
+// recordRate records the transfer rate of a body that was received completely.
+func (g *Gate) recordRate(bytes int64, elapsed time.Duration) {
 	now := time.Now()
-	seen := float64(bytes) / max(lasted, time.Millisecond).Seconds()
+	observed := float64(bytes) / max(elapsed, time.Millisecond).Seconds()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if seen >= g.rate || now.Sub(g.seenAt) > rateHalfLife {
-		g.rate, g.seenAt = seen, now
+	if observed >= g.rate || now.Sub(g.rateAt) > rateTTL {
+		g.rate, g.rateAt = observed, now
 	}
 }
 
-// Grant is the right to send one body. It ends with Received or Release.
+// Grant is the permission to send one body. It ends with Received or Release.
 type Grant struct {
 	gate    *Gate
 	slot    *queue.Slot
@@ -116,14 +119,14 @@
 	granted time.Time
 }
 
-// Received ends the grant of a body that came whole.
+// Received ends the grant of a body that was received completely.
 func (g *Grant) Received() {
-	g.gate.note(g.bytes, time.Since(g.granted))
+	g.gate.recordRate(g.bytes, time.Since(g.granted))
 	g.lease.Stop()
 	g.slot.Release(true)
 }
 
-// Release ends the grant of a body that did not come whole.
+// Release ends the grant of a body that was not received completely.
 func (g *Grant) Release() {
 	g.lease.Stop()
 	g.slot.Release(false)
--- a/internal/dataplane/transfer/model_test.go
+++ b/internal/dataplane/transfer/model_test.go
@@ -15,8 +15,8 @@
 	"github.com/winchhead/winchhead/internal/dataplane/transfer"
 )
 
-// sharedLink is a link of 10 Mbit/s on which everything goes in the order in which it
-// was sent. Its clock is that of the test's bubble.
+// sharedLink simulates a link of 10 Mbit/s that transmits data in the order in which it is
+// written, on the fake clock of synctest.
 type sharedLink struct {
 	mutex sync.Mutex
 	free  time.Time
@@ -25,7 +25,7 @@
 
 const linkBytesPerSecond = 10e6 / 8
 
-// Write returns once the bytes have passed.
+// Write returns once the data is transmitted.
 func (l *sharedLink) Write(data []byte) (int, error) {
 	l.mutex.Lock()
 	if now := time.Now(); l.free.Before(now) {
@@ -33,9 +33,9 @@
 	}
 	l.free = l.free.Add(time.Duration(float64(len(data)) / linkBytesPerSecond * float64(time.Second)))
 	l.bytes += len(data)
-	passed := l.free
+	transmitted := l.free
 	l.mutex.Unlock()
-	time.Sleep(time.Until(passed))
+	time.Sleep(time.Until(transmitted))
 	return len(data), nil
 }
 
@@ -48,8 +48,9 @@
 	loadTime   = 5 * time.Second
 )
 
-// TestOverloadedLink offers 1.6 times what the link carries. What fits is in time, the
-// rest is refused early having sent nothing, and calls beside it pass quickly.
+// TestOverloadedLink offers 1.6 times the link's capacity. It checks that the bodies that
+// fit are in time, that the others are refused early without having sent anything, and that
+// small calls on the same link are transmitted quickly.
 func TestOverloadedLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -90,26 +91,27 @@
 			calls = append(calls, time.Since(began))
 		}
 		var running sync.WaitGroup
-		between := time.Duration(bodyBytes / linkBytesPerSecond / loadFactor * float64(time.Second))
+		meanInterval := time.Duration(bodyBytes / linkBytesPerSecond / loadFactor * float64(time.Second))
 		for began := time.Now(); time.Since(began) < loadTime; {
 			running.Go(upload)
 			running.Go(call)
-			time.Sleep(time.Duration(random.ExpFloat64() * float64(between)))
+			time.Sleep(time.Duration(random.ExpFloat64() * float64(meanInterval)))
 		}
 		running.Wait()
 
-		fits := loadTime.Seconds() * gate.Rate() / bodyBytes
+		capacity := loadTime.Seconds() * gate.Rate() / bodyBytes
 		slices.Sort(calls)
 		slices.Sort(refusals)
-		c.Check(float64(inTime) >= 0.9*fits, qt.IsTrue, qt.Commentf("%d of %.0f in time, %d late", inTime, fits, late))
+		c.Check(float64(inTime) >= 0.9*capacity, qt.IsTrue, qt.Commentf("%d of %.0f in time, %d late", inTime, capacity, late))
 		c.Check(calls[len(calls)*99/100] < 120*time.Millisecond, qt.IsTrue, qt.Commentf("%s", calls[len(calls)*99/100]))
 		c.Check(len(refusals) > 0, qt.IsTrue)
 		c.Check(refusals[len(refusals)*9/10] <= target/4, qt.IsTrue, qt.Commentf("%s", refusals[len(refusals)*9/10]))
-		c.Check(link.bytes, qt.Equals, sent*bodyBytes+len(calls)*callBytes) // the refused sent nothing
+		c.Check(link.bytes, qt.Equals, sent*bodyBytes+len(calls)*callBytes) // refused bodies sent nothing
 	})
 }
 
-// TestStalledBodyReleasesTheLink: a sender that stops in a body does not keep others out.
+// TestStalledBodyReleasesTheLink guards against a sender that stalls within a body and blocks
+// the link for others.
 func TestStalledBodyReleasesTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -121,20 +123,21 @@
 		next, refusal, _ := gate.Acquire(context.Background(), ticket, bodyBytes)
 		c.Assert(refusal, qt.Equals, queue.None)
 		c.Check(time.Since(now) < time.Second, qt.IsTrue)
-		stalled.Release() // no effect on the other's grant
+		stalled.Release() // has no effect on the other grant
 		c.Check(gate.Backlog() > 0, qt.IsTrue)
 		next.Received()
 		c.Check(gate.Backlog(), qt.Equals, time.Duration(0))
 	})
 }
 
-// TestRateIsLearned: without a setting, the best rate seen lately counts.
-func TestRateIsLearned(t *testing.T) {
+// TestRateIsEstimated checks that without a configured capacity, the highest recently
+// observed rate is used.
+func TestRateIsEstimated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		gate := transfer.NewGate(transfer.Options{})
 		c.Check(gate.Pace(), qt.Equals, int64(0))
-		for range 3 { // a minute each, as what was believed first is forgotten
+		for range 3 { // a minute each, after which the initial rate is replaced
 			now := time.Now()
 			ticket := queue.Ticket{Due: now, LatestStart: now.Add(time.Hour), MaxWait: time.Minute}
 			grant, refusal, _ := gate.Acquire(context.Background(), ticket, 100_000)
--- a/internal/dataplane/transfer/pacer.go
+++ b/internal/dataplane/transfer/pacer.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// pieceBytes are written at once: what is small waits behind one of them at most.
-const pieceBytes = 8 << 10
+// chunkBytes are written at once, so that a small message waits behind at most one chunk.
+const chunkBytes = 8 << 10
 
-// maxPieceTime bounds the time between two pieces, whatever pace was named.
-const maxPieceTime = time.Second
+// maxChunkInterval limits the time between two chunks, whatever pace is given.
+const maxChunkInterval = time.Second
 
-// Pacer bounds the rate at which a machine sends all of its bodies together. It is
-// safe for concurrent use; nil does not bound it.
+// Pacer limits the total rate at which a machine sends bodies. It is safe for concurrent
+// use. A nil Pacer sets no limit.
 type Pacer struct {
-	rate float64 // bytes a second
+	rate float64 // bytes per second
 
 	mutex sync.Mutex
 	next  time.Time
 }
 
-// NewPacer returns a Pacer for a link of that capacity, in bytes a second, or nil when
-// it is not known.
+// NewPacer returns a Pacer for a link of the given capacity in bytes per second, or nil if
+// the capacity is not known.
 func NewPacer(bytesPerSecond float64) *Pacer {
 	if bytesPerSecond <= 0 {
 		return nil
@@ -30,7 +30,7 @@
 	return &Pacer{rate: bodyShare * bytesPerSecond}
 }
 
-// reserve takes the time of a piece on the link and returns when it may be sent.
+// reserve reserves link time for a chunk and returns when the chunk may be sent.
 func (p *Pacer) reserve(bytes int, now time.Time) time.Time {
 	if p == nil {
 		return now
@@ -41,16 +41,16 @@
 		p.next = now
 	}
 	at := p.next
-	p.next = p.next.Add(timeOf(bytes, p.rate))
+	p.next = p.next.Add(transmissionTime(bytes, p.rate))
 	return at
 }
 
-func timeOf(bytes int, rate float64) time.Duration {
+func transmissionTime(bytes int, rate float64) time.Duration {
 	return time.Duration(float64(bytes) / rate * float64(time.Second))
 }
 
-// Write writes a body piece by piece, no faster than pace (bytes a second; zero: not
-// bounded) and than the machine's own link allows.
+// Write writes a body in chunks, no faster than the given pace (in bytes per second; zero
+// means no limit) and than the Pacer's own limit.
 func (p *Pacer) Write(to io.Writer, body []byte, pace int64) error {
 	if p == nil && pace <= 0 {
 		_, err := to.Write(body)
@@ -58,21 +58,21 @@
 	}
 	next := time.Now()
 	for len(body) > 0 {
-		piece := body[:min(pieceBytes, len(body))]
-		at := p.reserve(len(piece), time.Now())
+		chunk := body[:min(chunkBytes, len(body))]
+		at := p.reserve(len(chunk), time.Now())
 		if at.Before(next) {
 			at = next
 		}
 		if wait := time.Until(at); wait > 0 {
 			time.Sleep(wait)
 		}
-		if _, err := to.Write(piece); err != nil {
+		if _, err := to.Write(chunk); err != nil {
 			return err
 		}
 		if pace > 0 {
-			next = at.Add(min(timeOf(len(piece), float64(pace)), maxPieceTime))
+			next = at.Add(min(transmissionTime(len(chunk), float64(pace)), maxChunkInterval))
 		}
-		body = body[len(piece):]
+		body = body[len(chunk):]
 	}
 	return nil
 }
