--- a/internal/suspects/benchmark_test.go
+++ b/internal/suspects/benchmark_test.go
@@ -5,16 +5,15 @@
 	"testing"
 )
 
-// BenchmarkAssess: what a request costs while nothing is suspected (2 ns, an atomic load; none
-// before there were suspects), and while something is (1.0 us without a body, 50 us with one of
-// 64 KB, most of it the hash), on a machine that was busy with other work.
+// BenchmarkAssess gives the cost per request while nothing is suspected (2 ns, an atomic load)
+// and while something is (1.0 us without a body, 50 us with a body of 64 KB, mostly hashing).
 func BenchmarkAssess(b *testing.B) {
 	for _, bytes := range []int{0, 64 << 10} {
-		for _, occupied := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d bytes, suspects %v", bytes, occupied), func(b *testing.B) {
+		for _, suspected := range []bool{false, true} {
+			b.Run(fmt.Sprintf("%d bytes, suspects %v", bytes, suspected), func(b *testing.B) {
 				ledger := NewLedger()
-				if occupied {
-					ledger.Crashed("i", []InProgress{{Fingerprint: content("other")}})
+				if suspected {
+					ledger.Crashed("i", []InProgress{{Fingerprint: fingerprintOf("other")}})
 				}
 				body := make([]byte, bytes)
 				b.ReportAllocs()
--- a/internal/suspects/book.go
+++ b/internal/suspects/book.go
@@ -10,33 +10,35 @@
 
 const (
 	// SuspectFor is how long a crash counts against the requests that were in progress.
-	// Requests that come again and again do so within minutes.
+	// Requests that clients retry repeatedly come back within minutes.
 	SuspectFor = time.Hour
-	// QuarantineFor is the same for a crash under a probe. Nothing tells when the software of
-	// the instances is repaired: a request that crashes them ends two of them a day.
+	// QuarantineFor is how long a crash during a probe counts against the probed request.
+	// Nothing signals that the software of the instances has been fixed, so a request that
+	// crashes them keeps crashing two instances a day.
 	QuarantineFor = 24 * time.Hour
 	// ProbeAgainAfter is how long a request is refused after its first probe ended in a crash.
-	// Another cause may have ended the instance just then, so it gets one more; with the
-	// second crash it is refused for QuarantineFor. A probe takes tenths of a second, in which
-	// an instance rarely ends by itself, while a further probe of one that is quarantined costs an
-	// instance for seconds and breaks off all that is in progress there.
+	// The instance may have ended for another reason, so the request gets a second probe; if
+	// that crashes too, it is refused for QuarantineFor. A probe takes tenths of a second, in
+	// which an instance rarely ends by itself. Each further probe of a quarantined request
+	// costs an instance for seconds and aborts everything in progress there.
 	ProbeAgainAfter = 2 * time.Minute
-	// finalProbes is how many probes that end in a crash leave no doubt.
-	finalProbes = 2
-	// maxCrashes bounds the records that are held: about 1 MB with MaxRequests each.
+	// quarantineProbes is the number of crashed probes after which a request is quarantined
+	// for QuarantineFor.
+	quarantineProbes = 2
+	// maxCrashes limits the number of records held: about 1 MB with MaxRequests each.
 	maxCrashes = 256
 )
 
-// Standing tells what may be done with requests of one content.
+// Standing says how requests with one fingerprint are treated.
 type Standing uint8
 
 // The standings.
 const (
-	// Clear: nothing stands against them.
+	// Clear requests are not suspected and are sent normally.
 	Clear Standing = 0
-	// Suspected: they may have crashed an instance. They are probed, one at a time.
+	// Suspected requests may have crashed an instance. They are probed, one at a time.
 	Suspected Standing = 1
-	// Quarantined: they crash the instances that run them, and are refused.
+	// Quarantined requests crash the instances that run them and are refused.
 	Quarantined Standing = 2
 )
 
@@ -45,20 +47,22 @@
 	return map[Standing]string{Clear: "clear", Suspected: "suspected", Quarantined: "quarantined"}[s]
 }
 
-// Assessment is the standing of one content with what it rests on.
+// Assessment is the standing of one fingerprint with the evidence for it.
 type Assessment struct {
 	Standing Standing
-	// Crashes counts the crashes that stand against it, Probes those under a probe.
+	// Crashes counts the crashes that count against the fingerprint. Probes counts those
+	// of them that happened during a probe.
 	Crashes, Probes int
-	// Until is when a quarantined one may be sent again.
+	// Until is when a quarantined request may be sent again.
 	Until time.Time
 }
 
-// Book holds the crashes that a node knows of. Books of different nodes that hold the same
-// records assess alike. It is for one goroutine.
+// Book holds the crash records that a node knows. Two Books with the same records give the
+// same assessments. It is not safe for concurrent use.
 type Book struct {
 	crashes map[CrashID]*Crash
-	// suspected maps each content that is not cleared to the crashes it was in progress at.
+	// suspected maps each fingerprint that is not cleared to the crashes at which it was in
+	// progress.
 	suspected map[Fingerprint][]*Crash
 }
 
@@ -67,15 +71,16 @@
 	return &Book{crashes: make(map[CrashID]*Crash), suspected: make(map[Fingerprint][]*Crash)}
 }
 
-// IsEmpty reports whether nothing stands against any content.
+// IsEmpty reports whether no fingerprint is suspected or quarantined.
 func (b *Book) IsEmpty() bool { return len(b.suspected) == 0 }
 
-// Merge takes over records and returns those that told something new, as they are now.
-func (b *Book) Merge(crashes []Crash, now time.Time) (news []Crash) {
+// Merge adds the given records and returns those that were new or changed a held record, in
+// their merged form.
+func (b *Book) Merge(crashes []Crash, now time.Time) (merged []Crash) {
 	b.expire(now)
 	var changed []CrashID
 	for _, other := range crashes {
-		if b.mergeOne(other, now) {
+		if b.mergeRecord(other, now) {
 			changed = append(changed, other.ID)
 		}
 	}
@@ -85,14 +90,14 @@
 	b.limit()
 	b.index()
 	for _, id := range changed {
-		if held := b.crashes[id]; held != nil { // what there is no room for is not passed on in circles
-			news = append(news, held.clone())
+		if held := b.crashes[id]; held != nil { // a dropped record is not passed on, or it would circulate forever
+			merged = append(merged, held.clone())
 		}
 	}
-	return news
+	return merged
 }
 
-func (b *Book) mergeOne(other Crash, now time.Time) (news bool) {
+func (b *Book) mergeRecord(other Crash, now time.Time) (changed bool) {
 	if held := b.crashes[other.ID]; held != nil {
 		return held.merge(other)
 	}
@@ -105,32 +110,32 @@
 	return true
 }
 
-// Answered clears a content, as an instance has answered a request of it: it does not crash
-// those that run it. It returns the records that changed.
-func (b *Book) Answered(content Fingerprint) (news []Crash) {
-	for _, crash := range b.suspected[content] {
-		crash.find(content).Cleared = true
-		news = append(news, crash.clone())
+// Answered clears a fingerprint after an instance answered such a request, which shows that
+// the request does not crash instances. It returns the records that changed.
+func (b *Book) Answered(fingerprint Fingerprint) (changed []Crash) {
+	for _, crash := range b.suspected[fingerprint] {
+		crash.find(fingerprint).Cleared = true
+		changed = append(changed, crash.clone())
 	}
-	if len(news) > 0 {
+	if len(changed) > 0 {
 		b.index()
 	}
-	return news
+	return changed
 }
 
-// Assess returns the standing of a content.
-func (b *Book) Assess(content Fingerprint, now time.Time) Assessment {
+// Assess returns the standing of a fingerprint.
+func (b *Book) Assess(fingerprint Fingerprint, now time.Time) Assessment {
 	var found Assessment
 	var last time.Time
-	for _, crash := range b.suspected[content] {
-		request := crash.find(content)
+	for _, crash := range b.suspected[fingerprint] {
+		request := crash.find(fingerprint)
 		switch {
 		case !now.Before(expiry(crash)):
 			continue
 		case request.Probed:
 			found.Probes++
 			last = later(last, crash.At)
-		case b.isExplained(crash, content):
+		case b.isExplained(crash, fingerprint):
 			continue
 		}
 		found.Crashes++
@@ -138,7 +143,7 @@
 	switch {
 	case found.Crashes == 0:
 		return found
-	case found.Probes >= finalProbes:
+	case found.Probes >= quarantineProbes:
 		found.Standing, found.Until = Quarantined, last.Add(QuarantineFor)
 	case found.Probes > 0 && now.Before(last.Add(ProbeAgainAfter)):
 		found.Standing, found.Until = Quarantined, last.Add(ProbeAgainAfter)
@@ -148,52 +153,51 @@
 	return found
 }
 
-// isExplained reports whether another content that was in progress at the crash has crashed
-// an instance under a probe: the crash then says nothing of this one. So the victims of a
-// request that crashes instances need no probe of their own.
-func (b *Book) isExplained(crash *Crash, content Fingerprint) bool {
+// isExplained reports whether another request that was in progress at the crash has crashed
+// an instance during a probe. The crash is then no evidence against this one, so requests
+// that merely ran beside the cause need no probe of their own.
+func (b *Book) isExplained(crash *Crash, fingerprint Fingerprint) bool {
 	return slices.ContainsFunc(crash.Requests, func(other Request) bool {
-		return other.Fingerprint != content && !other.Cleared && b.wasProbed(other.Fingerprint)
+		return other.Fingerprint != fingerprint && !other.Cleared && b.wasProbed(other.Fingerprint)
 	})
 }
 
-// wasProbed reports whether a probe of a content that is not cleared ended in a crash.
-func (b *Book) wasProbed(content Fingerprint) bool {
-	return slices.ContainsFunc(b.suspected[content], func(crash *Crash) bool { return crash.find(content).Probed })
+// wasProbed reports whether a probe of a fingerprint that is not cleared ended in a crash.
+func (b *Book) wasProbed(fingerprint Fingerprint) bool {
+	return slices.ContainsFunc(b.suspected[fingerprint], func(crash *Crash) bool { return crash.find(fingerprint).Probed })
 }
 
-// assessed returns all contents that something stands against, in the order of their
-// fingerprints.
+// assessed returns all fingerprints that are not clear, sorted.
 func (b *Book) assessed(now time.Time) (found []Assessed) {
-	for content := range b.suspected {
-		if assessment := b.Assess(content, now); assessment.Standing != Clear {
-			found = append(found, Assessed{Fingerprint: content, Assessment: assessment})
+	for fingerprint := range b.suspected {
+		if assessment := b.Assess(fingerprint, now); assessment.Standing != Clear {
+			found = append(found, Assessed{Fingerprint: fingerprint, Assessment: assessment})
 		}
 	}
 	slices.SortFunc(found, func(a, b Assessed) int { return bytes.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return found
 }
 
-// All returns all records, the oldest first.
+// All returns all records, oldest first.
 func (b *Book) All(now time.Time) []Crash {
 	b.expire(now)
 	all := make([]Crash, 0, len(b.crashes))
 	for _, crash := range b.crashes {
 		all = append(all, crash.clone())
 	}
-	slices.SortFunc(all, older)
+	slices.SortFunc(all, compareAge)
 	return all
 }
 
-// older orders records by age, and those of one moment by their names.
-func older(a, b Crash) int {
+// compareAge orders records by time, and those of the same time by ID.
+func compareAge(a, b Crash) int {
 	if order := a.At.Compare(b.At); order != 0 {
 		return order
 	}
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// expiry is when a record counts no more.
+// expiry returns the time at which a record stops counting.
 func expiry(crash *Crash) time.Time {
 	if slices.ContainsFunc(crash.Requests, func(request Request) bool { return request.Probed }) {
 		return crash.At.Add(QuarantineFor)
@@ -201,7 +205,7 @@
 	return crash.At.Add(SuspectFor)
 }
 
-// expire drops the records that count no more.
+// expire drops the records that have expired.
 func (b *Book) expire(now time.Time) {
 	before := len(b.crashes)
 	maps.DeleteFunc(b.crashes, func(_ CrashID, crash *Crash) bool { return !now.Before(expiry(crash)) })
@@ -210,7 +214,7 @@
 	}
 }
 
-// limit drops the records that would be missed least: those in which all are cleared, then
+// limit drops the least useful records: first those in which every request is cleared, then
 // the oldest without a probe, then the oldest.
 func (b *Book) limit() {
 	if len(b.crashes) <= maxCrashes {
@@ -218,32 +222,32 @@
 	}
 	all := slices.Collect(maps.Values(b.crashes))
 	slices.SortFunc(all, func(a, b *Crash) int {
-		if order := cmp.Compare(a.weight(), b.weight()); order != 0 {
+		if order := cmp.Compare(a.retentionPriority(), b.retentionPriority()); order != 0 {
 			return order
 		}
-		return older(*a, *b)
+		return compareAge(*a, *b)
 	})
 	for _, crash := range all[:len(all)-maxCrashes] {
 		delete(b.crashes, crash.ID)
 	}
 }
 
-// weight tells how much a record would be missed.
-func (c *Crash) weight() int {
-	weight := 0
+// retentionPriority ranks a record for limit, which drops low ranks first.
+func (c *Crash) retentionPriority() int {
+	priority := 0
 	for _, request := range c.Requests {
 		switch {
 		case request.Cleared:
 		case request.Probed:
 			return 2
 		default:
-			weight = 1
+			priority = 1
 		}
 	}
-	return weight
+	return priority
 }
 
-// index finds the contents that are suspected. Records change a few times a crash.
+// index rebuilds suspected. This is rare: records change only a few times per crash.
 func (b *Book) index() {
 	clear(b.suspected)
 	for _, crash := range b.crashes {
--- a/internal/suspects/book_test.go
+++ b/internal/suspects/book_test.go
@@ -12,10 +12,10 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// content is the fingerprint of a request to a path.
-func content(path string) Fingerprint { return Of("GET", "h", path, nil) }
+// fingerprintOf returns the fingerprint of a request to a path.
+func fingerprintOf(path string) Fingerprint { return Of("GET", "h", path, nil) }
 
-// crashOf is a crash with the contents in progress; those with a star were probed.
+// crashOf returns a crash with requests to the paths in progress. A leading "*" marks a probe.
 func crashOf(id CrashID, after time.Duration, paths ...string) Crash {
 	crash := Crash{ID: id, Instance: "i", At: start.Add(after)}
 	for _, path := range paths {
@@ -23,12 +23,12 @@
 		if probed {
 			path = path[1:]
 		}
-		crash.Requests = append(crash.Requests, Request{Fingerprint: content(path), Probed: probed})
+		crash.Requests = append(crash.Requests, Request{Fingerprint: fingerprintOf(path), Probed: probed})
 	}
 	return crash
 }
 
-// TestAssess is the table of what stands against a request.
+// TestAssess checks the standing that follows from crashes, probes, answers and time.
 func TestAssess(t *testing.T) {
 	const second = time.Second
 	type want = map[string]Standing
@@ -38,62 +38,62 @@
 		at       time.Duration
 		want     want
 	}{
-		"nothing":                             {at: second, want: want{"a": Clear}},
-		"all in progress are suspect":         {crashes: []Crash{crashOf(1, 0, "a", "b")}, at: second, want: want{"a": Suspected, "b": Suspected, "c": Clear}},
-		"many crashes without a probe":        {crashes: []Crash{crashOf(1, 0, "a"), crashOf(2, 0, "a"), crashOf(3, 0, "a")}, at: second, want: want{"a": Suspected}},
-		"an answer clears":                    {crashes: []Crash{crashOf(1, 0, "a", "b")}, answered: []string{"a"}, at: second, want: want{"a": Clear, "b": Suspected}},
-		"a probe confirms and explains":       {crashes: []Crash{crashOf(1, 0, "a", "b"), crashOf(2, second, "*a", "c")}, at: 2 * second, want: want{"a": Quarantined, "b": Clear, "c": Clear}},
-		"a second probe after a while":        {crashes: []Crash{crashOf(1, 0, "a"), crashOf(2, 0, "*a")}, at: ProbeAgainAfter, want: want{"a": Suspected}},
-		"two probes confirm for long":         {crashes: []Crash{crashOf(1, 0, "a"), crashOf(2, 0, "*a"), crashOf(3, ProbeAgainAfter, "*a")}, at: SuspectFor + second, want: want{"a": Quarantined}},
-		"and not for good":                    {crashes: []Crash{crashOf(2, 0, "*a"), crashOf(3, 0, "*a")}, at: QuarantineFor, want: want{"a": Clear}},
-		"an answer clears what was confirmed": {crashes: []Crash{crashOf(1, 0, "a", "b"), crashOf(2, second, "*a")}, answered: []string{"a"}, at: 2 * second, want: want{"a": Clear, "b": Suspected}},
-		"suspicion ends":                      {crashes: []Crash{crashOf(1, 0, "a")}, at: SuspectFor, want: want{"a": Clear}},
-		"two that crash instances":            {crashes: []Crash{crashOf(1, 0, "a", "b"), crashOf(2, 0, "*a", "c"), crashOf(3, 0, "*b")}, at: second, want: want{"a": Quarantined, "b": Quarantined, "c": Clear}},
+		"no crashes":                        {at: second, want: want{"a": Clear}},
+		"every request in progress":         {crashes: []Crash{crashOf(1, 0, "a", "b")}, at: second, want: want{"a": Suspected, "b": Suspected, "c": Clear}},
+		"many crashes without a probe":      {crashes: []Crash{crashOf(1, 0, "a"), crashOf(2, 0, "a"), crashOf(3, 0, "a")}, at: second, want: want{"a": Suspected}},
+		"an answer clears":                  {crashes: []Crash{crashOf(1, 0, "a", "b")}, answered: []string{"a"}, at: second, want: want{"a": Clear, "b": Suspected}},
+		"a probe confirms and explains":     {crashes: []Crash{crashOf(1, 0, "a", "b"), crashOf(2, second, "*a", "c")}, at: 2 * second, want: want{"a": Quarantined, "b": Clear, "c": Clear}},
+		"a second probe after a delay":      {crashes: []Crash{crashOf(1, 0, "a"), crashOf(2, 0, "*a")}, at: ProbeAgainAfter, want: want{"a": Suspected}},
+		"two crashed probes quarantine":     {crashes: []Crash{crashOf(1, 0, "a"), crashOf(2, 0, "*a"), crashOf(3, ProbeAgainAfter, "*a")}, at: SuspectFor + second, want: want{"a": Quarantined}},
+		"a quarantine expires":              {crashes: []Crash{crashOf(2, 0, "*a"), crashOf(3, 0, "*a")}, at: QuarantineFor, want: want{"a": Clear}},
+		"an answer ends a quarantine":       {crashes: []Crash{crashOf(1, 0, "a", "b"), crashOf(2, second, "*a")}, answered: []string{"a"}, at: 2 * second, want: want{"a": Clear, "b": Suspected}},
+		"suspicion expires":                 {crashes: []Crash{crashOf(1, 0, "a")}, at: SuspectFor, want: want{"a": Clear}},
+		"two requests that crash instances": {crashes: []Crash{crashOf(1, 0, "a", "b"), crashOf(2, 0, "*a", "c"), crashOf(3, 0, "*b")}, at: second, want: want{"a": Quarantined, "b": Quarantined, "c": Clear}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			book := NewBook()
 			book.Merge(row.crashes, start)
 			for _, path := range row.answered {
-				book.Answered(content(path))
+				book.Answered(fingerprintOf(path))
 			}
 			for path, want := range row.want {
-				c.Check(book.Assess(content(path), start.Add(row.at)).Standing, qt.Equals, want, qt.Commentf(path))
+				c.Check(book.Assess(fingerprintOf(path), start.Add(row.at)).Standing, qt.Equals, want, qt.Commentf(path))
 			}
 		})
 	}
 }
 
-// TestBooksAgree: books that got the same records and answers, in any order, some of them
-// twice, assess all contents alike.
-func TestBooksAgree(t *testing.T) {
+// TestBooksConverge checks that books that merged the same records and answers, in any order
+// and some of them twice, give the same assessments.
+func TestBooksConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		paths := []string{"a", "b", "c", "d"}
 		path := rapid.SampledFrom(paths)
 		books := []*Book{NewBook(), NewBook(), NewBook()}
-		var told []Crash
+		var changed []Crash
 		for id := range rapid.IntRange(1, 8).Draw(t, "crashes") {
-			in := rapid.SliceOfNDistinct(path, 1, 3, func(p string) string { return p }).Draw(t, "paths")
+			inProgress := rapid.SliceOfNDistinct(path, 1, 3, func(p string) string { return p }).Draw(t, "paths")
 			if rapid.Bool().Draw(t, "probed") {
-				in[0] = "*" + in[0]
+				inProgress[0] = "*" + inProgress[0]
 			}
 			at := rapid.IntRange(0, len(books)-1).Draw(t, "book")
-			told = append(told, books[at].Merge([]Crash{crashOf(CrashID(id), time.Duration(id)*time.Second, in...)}, start)...)
+			changed = append(changed, books[at].Merge([]Crash{crashOf(CrashID(id), time.Duration(id)*time.Second, inProgress...)}, start)...)
 			if rapid.Bool().Draw(t, "answered") {
 				at = rapid.IntRange(0, len(books)-1).Draw(t, "answering book")
-				told = append(told, books[at].Answered(content(path.Draw(t, "answered path")))...)
+				changed = append(changed, books[at].Answered(fingerprintOf(path.Draw(t, "answered path")))...)
 			}
 		}
 		order := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
 		for _, book := range books {
-			for _, at := range append(order.Perm(len(told)), order.Perm(len(told))...) {
-				book.Merge([]Crash{told[at]}, start)
+			for _, at := range append(order.Perm(len(changed)), order.Perm(len(changed))...) {
+				book.Merge([]Crash{changed[at]}, start)
 			}
 		}
 		for _, path := range paths {
-			first := books[0].Assess(content(path), start.Add(10*time.Second))
+			first := books[0].Assess(fingerprintOf(path), start.Add(10*time.Second))
 			for _, book := range books[1:] {
-				if other := book.Assess(content(path), start.Add(10*time.Second)); other != first {
+				if other := book.Assess(fingerprintOf(path), start.Add(10*time.Second)); other != first {
 					t.Fatalf("%s: %+v and %+v", path, first, other)
 				}
 			}
@@ -101,8 +101,8 @@
 	})
 }
 
-// TestBookIsBounded: with more crashes than there is room for, those that confirms stay, and
-// what was dropped is no news when it comes again.
+// TestBookIsBounded checks that a full book keeps the records of crashed probes, and that a
+// dropped record does not count as new when it arrives again.
 func TestBookIsBounded(t *testing.T) {
 	c := qt.New(t)
 	book := NewBook()
@@ -113,44 +113,44 @@
 	}
 	c.Check(len(book.Merge(all, start)) <= maxCrashes, qt.IsTrue)
 	c.Check(book.All(start), qt.HasLen, maxCrashes)
-	c.Check(book.Assess(content("quarantined"), start.Add(time.Hour)).Standing, qt.Equals, Quarantined)
+	c.Check(book.Assess(fingerprintOf("quarantined"), start.Add(time.Hour)).Standing, qt.Equals, Quarantined)
 	c.Check(book.Merge(all, start), qt.HasLen, 0)
 	long := crashOf(9000, time.Hour)
 	for i := range 2 * MaxRequests {
-		long.Requests = append(long.Requests, Request{Fingerprint: content(fmt.Sprint("long", i))})
+		long.Requests = append(long.Requests, Request{Fingerprint: fingerprintOf(fmt.Sprint("long", i))})
 	}
-	news := book.Merge([]Crash{long}, start)
-	c.Assert(news, qt.HasLen, 1)
-	c.Check(news[0].Requests, qt.HasLen, MaxRequests)
+	merged := book.Merge([]Crash{long}, start)
+	c.Assert(merged, qt.HasLen, 1)
+	c.Check(merged[0].Requests, qt.HasLen, MaxRequests)
 }
 
-// TestLedgerProbes: a crash confirms only a request that was sent under suspicion, and only
-// if no other suspect was in progress there.
+// TestLedgerProbes checks that a crash quarantines only a request that was sent as a probe, and
+// only if no other suspected request was in progress there.
 func TestLedgerProbes(t *testing.T) {
-	a, b := content("a"), content("b")
+	a, b := fingerprintOf("a"), fingerprintOf("b")
 	for name, row := range map[string]struct {
 		running []InProgress
 		probed  bool
 	}{
-		"alone":                         {[]InProgress{{a, true}}, true},
-		"beside others":                 {[]InProgress{{content("x"), false}, {a, true}, {content("y"), false}}, true},
-		"beside a suspect":              {[]InProgress{{a, true}, {b, false}}, false},
-		"beside another probe":          {[]InProgress{{a, true}, {b, true}}, false},
-		"it began before it was one":    {[]InProgress{{a, false}}, false},
-		"twice, given up in between":    {[]InProgress{{a, true}, {a, true}}, true},
-		"none of them is under a doubt": {[]InProgress{{content("x"), false}}, false},
+		"alone":                           {[]InProgress{{a, true}}, true},
+		"beside others":                   {[]InProgress{{fingerprintOf("x"), false}, {a, true}, {fingerprintOf("y"), false}}, true},
+		"beside a suspected request":      {[]InProgress{{a, true}, {b, false}}, false},
+		"beside another probe":            {[]InProgress{{a, true}, {b, true}}, false},
+		"started before it was suspected": {[]InProgress{{a, false}}, false},
+		"twice, abandoned in between":     {[]InProgress{{a, true}, {a, true}}, true},
+		"none of them is suspected":       {[]InProgress{{fingerprintOf("x"), false}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			var told []Crash
+			var changed []Crash
 			ledger := NewLedger()
-			ledger.SpreadBy(func(crashes []Crash) { told = append(told, crashes...) })
+			ledger.SpreadBy(func(crashes []Crash) { changed = append(changed, crashes...) })
 			c.Check(ledger.IsEmpty(), qt.IsTrue)
 			ledger.Crashed("i", []InProgress{{a, false}, {b, false}})
 			c.Check(ledger.IsEmpty(), qt.IsFalse)
 			ledger.Crashed("j", row.running)
 			c.Check(ledger.Assess(a).Standing == Quarantined, qt.Equals, row.probed)
-			c.Check(told, qt.HasLen, 2)
+			c.Check(changed, qt.HasLen, 2)
 			ledger.Answered(a)
 			c.Check(ledger.Assess(a).Standing, qt.Equals, Clear)
 		})
--- a/internal/suspects/fingerprint.go
+++ b/internal/suspects/fingerprint.go
@@ -1,6 +1,6 @@
-// Package suspects finds the requests that crash the instances which run them. It holds
-// which requests were in progress when instances crashed, on all nodes alike, and tells
-// which of them must not be sent again.
+// Package suspects identifies requests that crash the instances that run them. It keeps
+// records, replicated to all nodes, of the requests that were in progress when instances
+// crashed, and decides which of those requests may be sent again.
 package suspects
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// FingerprintBytes is the size of a Fingerprint. Half of a SHA-256 keeps it out of reach
-// to make a request that has another's.
+// FingerprintBytes is the size of a Fingerprint. Half of a SHA-256 hash is enough to make it
+// infeasible to craft a request with the fingerprint of another one.
 const FingerprintBytes = sha256.Size / 2
 
-// Fingerprint stands for all requests of the same content: method, host, target and body.
-// What differs each time that a request comes again (its id, its deadline, the node and the
-// service beside which it starts) is left out.
+// Fingerprint identifies all requests with the same method, host, target and body. It leaves
+// out what differs when a request is repeated: its ID, its deadline, and the node and service
+// that it comes from.
 type Fingerprint [FingerprintBytes]byte
 
 // Of returns the fingerprint of a request.
@@ -33,7 +33,7 @@
 	return Fingerprint(hash.Sum(nil)[:FingerprintBytes])
 }
 
-// ParseFingerprint reads a fingerprint as String writes it.
+// ParseFingerprint parses the format that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != FingerprintBytes {
@@ -42,5 +42,5 @@
 	return Fingerprint(decoded), nil
 }
 
-// String returns the fingerprint in hexadecimal digits, as logs show it.
+// String returns the fingerprint in hexadecimal digits, as it is logged.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/internal/suspects/fingerprint_test.go
+++ b/internal/suspects/fingerprint_test.go
@@ -6,7 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestFingerprint: it depends on method, host, target and body, and on where each ends.
+// TestFingerprint checks that a fingerprint depends on method, host, target and body, and on where
+// each of them ends.
 func TestFingerprint(t *testing.T) {
 	c := qt.New(t)
 	base := Of("GET", "h", "/a?x", []byte("body"))
--- a/internal/suspects/ledger.go
+++ b/internal/suspects/ledger.go
@@ -12,45 +12,46 @@
 // InProgress is a request that was in progress at a crash.
 type InProgress struct {
 	Fingerprint Fingerprint
-	// Probe says that it was sent under suspicion.
+	// Probe is set if the request was sent as a probe.
 	Probe bool
 }
 
-// Ledger is the Book of one node with what it tells the others. It is safe for concurrent
-// use. While nothing stands against any request it costs one atomic load.
+// Ledger holds the Book of one node and sends its changes to other nodes. It is safe for
+// concurrent use. While no request is suspected, a lookup costs one atomic load.
 type Ledger struct {
-	// spread tells other nodes of records that changed here.
-	spread func([]Crash)
-	now    func() time.Time
+	// publish sends records that changed on this node to other nodes.
+	publish func([]Crash)
+	now     func() time.Time
 
-	occupied atomic.Bool
-	mutex    sync.Mutex
-	book     *Book
+	hasSuspects atomic.Bool
+	mutex       sync.Mutex
+	book        *Book
 }
 
-// NewLedger returns an empty Ledger that tells nobody.
+// NewLedger returns an empty Ledger that sends its changes nowhere.
 func NewLedger() *Ledger {
-	return &Ledger{spread: func([]Crash) {}, now: clock.Now, book: NewBook()}
+	return &Ledger{publish: func([]Crash) {}, now: clock.Now, book: NewBook()}
 }
 
-// SpreadBy sets what tells other nodes of records that change here. It is called before the
-// Ledger is used.
-func (l *Ledger) SpreadBy(spread func([]Crash)) { l.spread = spread }
+// SpreadBy sets the function that sends records that change on this node to other nodes. It
+// must be called before the Ledger is used.
+func (l *Ledger) SpreadBy(publish func([]Crash)) { l.publish = publish }
 
-// IsEmpty reports whether nothing stands against any request.
-func (l *Ledger) IsEmpty() bool { return !l.occupied.Load() }
+// IsEmpty reports whether no request is suspected or quarantined.
+func (l *Ledger) IsEmpty() bool { return !l.hasSuspects.Load() }
 
-// Assess returns the standing of requests of a content.
-func (l *Ledger) Assess(content Fingerprint) Assessment {
+// Assess returns the standing of requests with the given fingerprint.
+func (l *Ledger) Assess(fingerprint Fingerprint) Assessment {
 	if l.IsEmpty() {
 		return Assessment{}
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.book.Assess(content, l.now())
+	return l.book.Assess(fingerprint, l.now())
 }
 
-// Crashed notes the crash of an instance and tells other nodes of it.
+// Crashed records the crash of an instance with the requests that were running there, and
+// sends the record to other nodes.
 func (l *Ledger) Crashed(instance string, running []InProgress) {
 	l.mutex.Lock()
 	now := l.now()
@@ -61,14 +62,14 @@
 			crash.Requests = append(crash.Requests, Request{Fingerprint: each.Fingerprint, Probed: probed != nil && *probed == each.Fingerprint})
 		}
 	}
-	news := l.book.Merge([]Crash{crash}, now)
-	l.occupied.Store(!l.book.IsEmpty())
+	changed := l.book.Merge([]Crash{crash}, now)
+	l.hasSuspects.Store(!l.book.IsEmpty())
 	l.mutex.Unlock()
-	l.spread(news)
+	l.publish(changed)
 }
 
-// onlyProbe returns the content that is being probed, if no other suspect was in progress beside it. The
-// mutex is held.
+// onlyProbe returns the fingerprint that was being probed, or nil if there was none or another
+// suspected request ran beside it. The caller must hold mutex.
 func (l *Ledger) onlyProbe(running []InProgress, now time.Time) *Fingerprint {
 	var probed *Fingerprint
 	for i := range running {
@@ -84,43 +85,42 @@
 	return probed
 }
 
-// Answered clears the content of a request that an instance answered.
-func (l *Ledger) Answered(content Fingerprint) {
+// Answered clears the fingerprint of a request that an instance answered.
+func (l *Ledger) Answered(fingerprint Fingerprint) {
 	if l.IsEmpty() {
 		return
 	}
 	l.mutex.Lock()
-	news := l.book.Answered(content)
-	l.occupied.Store(!l.book.IsEmpty())
+	changed := l.book.Answered(fingerprint)
+	l.hasSuspects.Store(!l.book.IsEmpty())
 	l.mutex.Unlock()
-	if len(news) > 0 {
-		l.spread(news)
+	if len(changed) > 0 {
+		l.publish(changed)
 	}
 }
 
-// Learn takes over records of other nodes.
+// Learn merges records received from other nodes.
 func (l *Ledger) Learn(crashes []Crash) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.book.Merge(crashes, l.now())
-	l.occupied.Store(!l.book.IsEmpty())
+	l.hasSuspects.Store(!l.book.IsEmpty())
 }
 
-// Assessed is a content with its assessment.
+// Assessed is a fingerprint with its assessment.
 type Assessed struct {
 	Fingerprint Fingerprint
 	Assessment
 }
 
-// Assessed returns all contents that something stands against, in the order of their
-// fingerprints.
+// Assessed returns all fingerprints that are not clear, sorted.
 func (l *Ledger) Assessed() []Assessed {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.book.assessed(l.now())
 }
 
-// Count returns how many contents have a standing.
+// Count returns how many fingerprints have the given standing.
 func (l *Ledger) Count(standing Standing) (count int) {
 	for _, each := range l.Assessed() {
 		if each.Standing == standing {
