--- a/internal/membership/addresses.go
+++ b/internal/membership/addresses.go
@@ -1,10 +1,11 @@
 package membership
 
-// An address belongs to one process at a time. When two records of different
-// nodes give the same one, the process with the higher incarnation, which started
-// later, has it, and the other one is gone.
+// An address belongs to one process at a time. If records of two nodes name the
+// same address, it belongs to the process with the higher incarnation, which
+// started later; the other process is gone.
 
-// outranks reports whether a, of another node, took a shared address after b.
+// outranks reports whether a took a shared address after b, a record of another
+// node.
 func outranks(a, b Record) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -20,17 +21,17 @@
 	return usesAddress(a, b.PeerAddress) || usesAddress(a, b.DataAddress)
 }
 
-// displaced reports whether another process has an address of the entry's.
-func (t *Table) displaced(e *entry) bool {
+// lostAddress reports whether another process owns an address of the entry.
+func (t *Table) lostAddress(e *entry) bool {
 	record := &e.record
-	if t.holders[record.PeerAddress] != record.Node {
+	if t.addressOwners[record.PeerAddress] != record.Node {
 		return true
 	}
-	return record.DataAddress != "" && t.holders[record.DataAddress] != record.Node
+	return record.DataAddress != "" && t.addressOwners[record.DataAddress] != record.Node
 }
 
-// moveAddresses follows a node from its addresses in before to those in after;
-// either may be zero.
+// moveAddresses releases the addresses that a node has only in before and claims
+// those in after. Either record may be zero.
 func (t *Table) moveAddresses(before, after Record) {
 	for _, address := range [...]string{before.PeerAddress, before.DataAddress} {
 		if address != "" && !usesAddress(after, address) {
@@ -39,31 +40,32 @@
 	}
 	for _, address := range [...]string{after.PeerAddress, after.DataAddress} {
 		if address != "" {
-			t.takeAddress(address, after)
+			t.claimAddress(address, after)
 		}
 	}
 }
 
-func (t *Table) takeAddress(address string, record Record) {
-	holder, held := t.holders[address]
-	if held && holder == record.Node {
+func (t *Table) claimAddress(address string, record Record) {
+	owner, owned := t.addressOwners[address]
+	if owned && owner == record.Node {
 		return
 	}
-	if held && !outranks(record, t.entries[holder].record) {
+	if owned && !outranks(record, t.entries[owner].record) {
 		return
 	}
-	t.holders[address] = record.Node
-	if held {
-		t.touch(holder)
+	t.addressOwners[address] = record.Node
+	if owned {
+		t.markDirty(owner)
 	}
 }
 
-// releaseAddress gives an address that node no longer uses to the next in rank.
+// releaseAddress passes an address that node no longer uses to the highest-ranking
+// other node that names it.
 func (t *Table) releaseAddress(address string, node NodeID) {
-	if t.holders[address] != node {
+	if t.addressOwners[address] != node {
 		return
 	}
-	delete(t.holders, address)
+	delete(t.addressOwners, address)
 	var next *entry
 	for name, e := range t.entries {
 		if name == node || !usesAddress(e.record, address) {
@@ -74,7 +76,7 @@
 		}
 	}
 	if next != nil {
-		t.holders[address] = next.record.Node
-		t.touch(next.record.Node)
+		t.addressOwners[address] = next.record.Node
+		t.markDirty(next.record.Node)
 	}
 }
--- a/internal/membership/build.go
+++ b/internal/membership/build.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// next returns the view that follows v when the members in changed replace those
-// of the same name, or are added, and those named in removed are left out. Both
-// are sorted by NodeID. What did not change is shared with v or copied as a
-// block, as views follow each other quickly while many nodes start or end.
+// next returns a copy of v in which the members in changed replace those of the
+// same name or are added, and those named in removed are left out. Both must be
+// sorted by NodeID. Unchanged parts are shared with v or copied as a block,
+// because views change often while many nodes start or end.
 func (v *View) next(changed []*Member, removed []NodeID) *View {
 	services := newServiceChanges(v.services)
 	members := make([]*Member, 0, len(v.members)+len(changed))
@@ -55,8 +55,8 @@
 	slices.SortFunc(members, func(a, b *Member) int { return cmp.Compare(a.Record.Node, b.Record.Node) })
 }
 
-// serviceChanges derives the services of a view from those of the one before,
-// copying only those that change.
+// serviceChanges derives the services of a view from those of the previous view
+// and copies only those that change.
 type serviceChanges struct {
 	before map[string]*serviceView
 	copied map[string]*serviceView
@@ -66,72 +66,72 @@
 	return &serviceChanges{before: before, copied: make(map[string]*serviceView)}
 }
 
-// part returns a copy of the service's part that may be changed.
-func (s *serviceChanges) part(service string) *serviceView {
-	if part := s.copied[service]; part != nil {
-		return part
+// editable returns a copy of the service's view that may be changed.
+func (s *serviceChanges) editable(service string) *serviceView {
+	if view := s.copied[service]; view != nil {
+		return view
 	}
-	part := &serviceView{zones: make(map[string]int)}
+	view := &serviceView{zones: make(map[string]int)}
 	if before := s.before[service]; before != nil {
-		part.endpoints = slices.Clone(before.endpoints)
-		part.ready = before.ready
-		part.zones = maps.Clone(before.zones)
+		view.endpoints = slices.Clone(before.endpoints)
+		view.ready = before.ready
+		view.zones = maps.Clone(before.zones)
 	}
-	s.copied[service] = part
-	return part
+	s.copied[service] = view
+	return view
 }
 
 func (s *serviceChanges) remove(member *Member) {
 	if !member.MayTakeWork() {
 		return
 	}
-	part := s.part(member.Record.Service)
-	position, _ := part.find(member.Record.Node)
-	part.endpoints = slices.Delete(part.endpoints, position, position+1)
-	part.count(member, -1)
+	view := s.editable(member.Record.Service)
+	position, _ := view.find(member.Record.Node)
+	view.endpoints = slices.Delete(view.endpoints, position, position+1)
+	view.addReady(member, -1)
 }
 
 func (s *serviceChanges) add(member *Member) {
 	if !member.MayTakeWork() {
 		return
 	}
-	part := s.part(member.Record.Service)
-	position, _ := part.find(member.Record.Node)
-	part.endpoints = slices.Insert(part.endpoints, position, member.endpoint())
-	part.count(member, 1)
+	view := s.editable(member.Record.Service)
+	position, _ := view.find(member.Record.Node)
+	view.endpoints = slices.Insert(view.endpoints, position, member.endpoint())
+	view.addReady(member, 1)
 }
 
-// result returns the services of the new view. A part that ended as it began is
-// the former one, so that views can be compared cheaply.
+// result returns the services of the new view. A service whose endpoints are equal
+// keeps its previous view, so that views can be compared cheaply.
 func (s *serviceChanges) result() map[string]*serviceView {
 	services := maps.Clone(s.before)
 	if services == nil {
 		services = make(map[string]*serviceView, len(s.copied))
 	}
-	for name, part := range s.copied {
+	for name, view := range s.copied {
 		before := s.before[name]
 		switch {
-		case before != nil && slices.Equal(before.endpoints, part.endpoints):
-		case len(part.endpoints) == 0:
+		case before != nil && slices.Equal(before.endpoints, view.endpoints):
+		case len(view.endpoints) == 0:
 			delete(services, name)
 		default:
-			services[name] = part
+			services[name] = view
 		}
 	}
 	return services
 }
 
-func (p *serviceView) find(node NodeID) (int, bool) {
-	return slices.BinarySearchFunc(p.endpoints, node, func(endpoint Endpoint, node NodeID) int {
+func (s *serviceView) find(node NodeID) (int, bool) {
+	return slices.BinarySearchFunc(s.endpoints, node, func(endpoint Endpoint, node NodeID) int {
 		return cmp.Compare(endpoint.Node, node)
 	})
 }
 
-// count adds to the numbers of ready instances. Suspected ones do not count.
-func (p *serviceView) count(member *Member, by int) {
+// addReady adds delta to the counts of ready instances. Suspected ones do not count.
+func (s *serviceView) addReady(member *Member, delta int) {
 	if member.Suspected {
 		return
 	}
-	p.ready += by
-	p.zones[member.Record.Zone] += by
+	s.ready += delta
+	s.zones[member.Record.Zone] += delta
 }
--- a/internal/membership/clock.go
+++ b/internal/membership/clock.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// maxClockStep bounds how much time one step of the clock may account for. A
-// process that was paused hears its neighbours only after it woke, so that the
-// time it slept must not count as their silence.
+// maxClockStep limits how much one call of advance may add. A process that was
+// paused receives nothing from its neighbours until it resumes, so the pause must
+// not count as their silence.
 const maxClockStep = 15 * time.Second
 
-// clock turns the times that callers pass in into the time this table has been
-// awake, which never goes back.
+// clock converts the times that callers pass in to the time elapsed while this
+// process was running, which leaves out pauses and never goes back.
 type clock struct {
-	wall  time.Time
-	awake time.Duration
+	wall    time.Time
+	elapsed time.Duration
 }
 
-// advance moves the clock to now and returns the time awake.
+// advance moves the clock to now and returns the elapsed time.
 func (c *clock) advance(now time.Time) time.Duration {
 	if c.wall.IsZero() {
 		c.wall = now
 	}
 	step := now.Sub(c.wall)
 	c.wall = now
-	c.awake += min(max(step, 0), maxClockStep)
-	return c.awake
+	c.elapsed += min(max(step, 0), maxClockStep)
+	return c.elapsed
 }
 
-// startOf estimates when a process of that incarnation started, in time awake.
-// It relies on the clock of the process and is never later than now.
-func (c *clock) startOf(incarnation Incarnation) time.Duration {
+// startTime estimates when the process of an incarnation started, in elapsed
+// time. It relies on the wall clock of that process and is never later than now.
+func (c *clock) startTime(incarnation Incarnation) time.Duration {
 	age := c.wall.Sub(time.UnixMilli(int64(incarnation)))
-	return c.awake - max(age, 0)
+	return c.elapsed - max(age, 0)
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -7,14 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of parts a table's records are split into by name, so
-// that two tables can find their differences without sending all records.
+// Buckets is the number of buckets that a table's records are hashed into by node
+// name, so that two tables can find their differences without exchanging all
+// records.
 const Buckets = 64
 
 func bucketOf(node NodeID) int { return int(xxhash.Sum64String(string(node)) % Buckets) }
 
 // Digest returns a number that is equal for tables that hold the same records
-// and suspicions, in whatever order they came. Ended nodes do not count.
+// and suspicions, in whatever order they arrived. Ended nodes are left out.
 func (t *Table) Digest() uint64 {
 	var sum uint64
 	for _, bucket := range t.buckets {
@@ -26,41 +27,41 @@
 // BucketDigests returns the digest of each bucket.
 func (t *Table) BucketDigests() [Buckets]uint64 { return t.buckets }
 
-// DifferingBuckets returns the buckets in which the table differs from another
-// one, whose bucket digests are given. Missing ones count as empty.
+// DifferingBuckets returns the buckets whose digests differ from those of another
+// table, which are given. Missing digests count as empty buckets.
 func (t *Table) DifferingBuckets(other []uint64) []int {
 	var differing []int
 	for bucket, digest := range t.buckets {
-		var theirs uint64
+		var remote uint64
 		if bucket < len(other) {
-			theirs = other[bucket]
+			remote = other[bucket]
 		}
-		if digest != theirs {
+		if digest != remote {
 			differing = append(differing, bucket)
 		}
 	}
 	return differing
 }
 
-// RecordsIn returns the records of the buckets, tombstones included, for a table
-// that differs there. Numbers that are no bucket are skipped.
+// RecordsIn returns the records in the buckets, tombstones included, to be sent to
+// a table that differs there. Bucket numbers out of range are skipped.
 func (t *Table) RecordsIn(buckets []int) []Record {
 	var records []Record
 	t.eachIn(buckets, func(e *entry) {
-		if !e.buried && !e.secondHand {
+		if !e.presumedGone && !e.neverAlive {
 			records = append(records, e.record)
 		}
 	})
 	return records
 }
 
-// ObservationsIn returns the standing suspicions of the buckets. They belong
-// beside RecordsIn: a node that other tables take for unreachable or gone learns
-// of it this way, and refutes it.
+// ObservationsIn returns the unrefuted suspicions in the buckets. They are sent
+// together with RecordsIn, so that a node that other tables consider unreachable
+// or gone learns of it and refutes it.
 func (t *Table) ObservationsIn(buckets []int) []Observation {
 	var observations []Observation
 	t.eachIn(buckets, func(e *entry) {
-		if e.buried || e.suspected() {
+		if e.presumedGone || e.suspected() {
 			observations = append(observations, e.observation(t.self.Node))
 		}
 	})
@@ -87,9 +88,9 @@
 	}
 }
 
-// recount brings the digest of the entry's bucket up to date.
-func (t *Table) recount(e *entry) {
-	t.buckets[e.bucket] -= e.counted
-	e.counted = e.digest()
-	t.buckets[e.bucket] += e.counted
+// updateDigest updates the digest of the entry's bucket.
+func (t *Table) updateDigest(e *entry) {
+	t.buckets[e.bucket] -= e.digested
+	e.digested = e.digest()
+	t.buckets[e.bucket] += e.digested
 }
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -8,51 +8,52 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// suspectedDigest sets the digest of a suspected record apart from that of the
-// same record unsuspected.
+// suspectedDigest is XORed into the digest of a suspected record, so that it
+// differs from that of the same record without suspicion.
 const suspectedDigest = 0x9e3779b97f4a7c15
 
-// entry is what a table holds of one node that has published a record. Times are
-// in time awake (see clock).
+// entry is the state that a table holds for one node that has published a record.
+// Times are elapsed times (see clock).
 type entry struct {
 	record Record
 	hash   uint64
 	bucket int
-	// counted is what the entry adds to the digest of its bucket.
-	counted uint64
+	// digested is what the entry currently adds to the digest of its bucket.
+	digested uint64
 
-	// startedAt is the earliest sign of the process of record.Incarnation.
+	// startedAt is the earliest known time of the process of record.Incarnation.
 	startedAt time.Duration
-	// heardAt is when record was merged.
-	heardAt time.Duration
+	// mergedAt is when record was merged.
+	mergedAt time.Duration
 	// replaced is set when the table knew an earlier process of the same node.
 	replaced bool
-	// secondHand marks a tombstone of a node that the table never knew alive. It
-	// guards against older records but is not passed on, so that tombstones end.
-	secondHand bool
+	// neverAlive marks a tombstone of a node that the table never knew alive. It
+	// rejects older records but is not passed on, so that tombstones die out.
+	neverAlive bool
 
-	// suspectedBy is the observer of the standing suspicion, or empty.
+	// suspectedBy is the observer that raised the current suspicion, or empty.
 	suspectedBy NodeID
 	suspectedAt time.Duration
 
 	listed     bool
 	unlistedAt time.Duration
-	// leaving is set while an entry of the list says that this process leaves.
+	// leaving is set while an entry of the list says that this process is leaving.
 	leaving bool
 
-	// buried is set once the table takes the node for gone without its own word.
-	// A record with a higher sequence ends it.
-	buried   bool
-	buriedAt time.Duration
+	// presumedGone is set once the table considers the node gone although the node
+	// has not published StateGone. A newer record clears it.
+	presumedGone   bool
+	presumedGoneAt time.Duration
 }
 
 func (e *entry) suspected() bool { return e.suspectedBy != "" }
 
-// ended reports whether the node is gone, by its own word or by the table's.
-func (e *entry) ended() bool { return e.buried || e.record.State == StateGone }
+// ended reports whether the node is gone, by its own record or as presumed by the
+// table.
+func (e *entry) ended() bool { return e.presumedGone || e.record.State == StateGone }
 
-// digest is what the entry adds to the digest. Ended entries add nothing, since
-// tables forget them at different times.
+// digest returns what the entry adds to the digest of its bucket. Ended entries
+// add nothing, because tables forget them at different times.
 func (e *entry) digest() uint64 {
 	switch {
 	case e.ended():
@@ -64,7 +65,7 @@
 	}
 }
 
-// observation tells others that the node is taken for unreachable or gone.
+// observation returns a report that the node is considered unreachable or gone.
 func (e *entry) observation(observer NodeID) Observation {
 	return Observation{
 		Subject:     e.record.Node,
@@ -74,7 +75,7 @@
 	}
 }
 
-// hashRecord covers every field of the record.
+// hashRecord hashes every field of the record.
 func hashRecord(record Record) uint64 {
 	buffer := make([]byte, 0, 256)
 	for _, number := range [...]uint64{
@@ -92,8 +93,9 @@
 	return xxhash.Sum64(buffer)
 }
 
-// intern replaces the record's strings by shared copies: regions, zones and
-// services recur in many records, and all of them in the tables of one process.
+// intern replaces the record's strings by shared copies. Regions, zones and
+// services recur in many records, and every string recurs in each table of the
+// process.
 func intern(record Record) Record {
 	record.Node = NodeID(shared(string(record.Node)))
 	record.Region = shared(record.Region)
--- a/internal/membership/expire.go
+++ b/internal/membership/expire.go
@@ -2,107 +2,108 @@
 
 import "time"
 
-// Times after which a table changes its mind without a message. They count time
-// awake, so that a process that was paused gives its neighbours time to speak.
+// Times after which a table changes its state without a message. They are elapsed
+// times (see clock), so that a process that was paused first gives its neighbours
+// time to send something.
 const (
 	// UnlistedSuspectedLifetime is how long a node that is suspected and not in the
-	// list stays before it is taken for gone.
+	// list is kept before it is presumed gone.
 	UnlistedSuspectedLifetime = 30 * time.Second
-	// RefreshInterval is how often a node that the list does not name publishes its
+	// RefreshInterval is how often a node that is not in the list publishes its
 	// record again.
 	RefreshInterval = time.Minute
-	// UnlistedLifetime is how long a node that the list does not name stays without
-	// a new record before it is taken for gone.
+	// UnlistedLifetime is how long a node that is not in the list is kept without a
+	// new record before it is presumed gone.
 	UnlistedLifetime = 3 * RefreshInterval
 	// TombstoneLifetime is how long an ended node is remembered, so that an old
-	// record of it is recognised. It outlasts an hour's loss between regions.
+	// record of it is rejected. It outlasts an hour without connection between
+	// regions.
 	TombstoneLifetime = 2 * time.Hour
 )
 
-// Expire applies the passing of time and reports whether anything changed. It is
-// meant to be called about once a second; after a longer gap it counts only part
-// of the gap.
+// Expire applies time-outs and reports whether anything changed. It should be
+// called about once a second; of a longer gap only maxClockStep counts.
 func (t *Table) Expire(now time.Time) (changed bool) {
 	t.clock.advance(now)
 	changed = t.claimIfDue()
 	changed = t.refreshIfUnlisted() || changed
 	for node, e := range t.entries {
 		if node == t.self.Node {
-			changed = t.rejudge(e) || changed
+			changed = t.reevaluateListing(e) || changed
 			continue
 		}
 		switch {
 		case t.forgettable(e):
 			t.forget(e)
 			changed = true
-		case t.takenForGone(e):
-			t.bury(e)
+		case t.shouldPresumeGone(e):
+			t.presumeGone(e)
 			changed = true
 		default:
-			changed = t.rejudge(e) || changed
+			changed = t.reevaluateListing(e) || changed
 		}
 	}
 	return changed
 }
 
-// refreshIfUnlisted publishes the own record again while the list does not name
-// it, so that others go on taking it for alive.
+// refreshIfUnlisted publishes this node's record again while the list does not
+// name it, so that other nodes keep considering it alive.
 func (t *Table) refreshIfUnlisted() bool {
 	e := t.entries[t.self.Node]
-	if e.listed || t.self.State == StateGone || t.clock.awake-e.heardAt < RefreshInterval {
+	if e.listed || t.self.State == StateGone || t.clock.elapsed-e.mergedAt < RefreshInterval {
 		return false
 	}
 	record := t.self
 	record.Sequence++
-	t.publish(record)
+	t.setSelf(record)
 	return true
 }
 
-// rejudge looks again at an entry of the list that says "leaving", as its meaning
-// may depend on the age of the process.
-func (t *Table) rejudge(e *entry) bool {
+// reevaluateListing checks again whether an entry of the list that says "leaving"
+// applies to the process, which may depend on the age of the process.
+func (t *Table) reevaluateListing(e *entry) bool {
 	if !e.listed || e.leaving {
 		return false
 	}
-	t.judgeListing(e)
+	t.evaluateListing(e)
 	return e.leaving
 }
 
 func (t *Table) forgettable(e *entry) bool {
 	switch {
-	case e.buried:
-		return t.clock.awake-e.buriedAt >= TombstoneLifetime
+	case e.presumedGone:
+		return t.clock.elapsed-e.presumedGoneAt >= TombstoneLifetime
 	case e.record.State == StateGone:
-		return t.clock.awake-e.heardAt >= TombstoneLifetime
+		return t.clock.elapsed-e.mergedAt >= TombstoneLifetime
 	default:
 		return false
 	}
 }
 
-// takenForGone reports whether the table stops believing in a node that is
-// missing from the list and has been silent, or suspected, for long enough.
-func (t *Table) takenForGone(e *entry) bool {
+// shouldPresumeGone reports whether a node is missing from the list and has been
+// silent, or suspected, for long enough to be presumed gone.
+func (t *Table) shouldPresumeGone(e *entry) bool {
 	if e.ended() || e.listed || !t.haveList {
 		return false
 	}
-	awake := t.clock.awake
-	if e.suspected() && awake-max(e.unlistedAt, e.suspectedAt) >= UnlistedSuspectedLifetime {
+	elapsed := t.clock.elapsed
+	if e.suspected() && elapsed-max(e.unlistedAt, e.suspectedAt) >= UnlistedSuspectedLifetime {
 		return true
 	}
-	return awake-max(e.unlistedAt, e.heardAt) >= UnlistedLifetime
+	return elapsed-max(e.unlistedAt, e.mergedAt) >= UnlistedLifetime
 }
 
-func (t *Table) bury(e *entry) {
-	e.buried = true
-	e.buriedAt = t.clock.awake
+func (t *Table) presumeGone(e *entry) {
+	e.presumedGone = true
+	e.presumedGoneAt = t.clock.elapsed
 	e.suspectedBy = ""
-	t.recount(e)
-	t.touch(e.record.Node)
+	t.updateDigest(e)
+	t.markDirty(e.record.Node)
 }
 
 func (t *Table) forget(e *entry) {
 	delete(t.entries, e.record.Node)
 	t.moveAddresses(e.record, Record{})
-	t.buckets[e.bucket] -= e.counted
-	t.touch(e.record.Node)
+	t.buckets[e.bucket] -= e.digested
+	t.markDirty(e.record.Node)
 }
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ListLag is how long the platform's list may be wrong about a machine.
+// ListLag is how long the platform's list may be out of date about a machine.
 const ListLag = time.Minute
 
 // listing is one entry of the platform's list.
@@ -13,18 +13,18 @@
 	ListedMember
 	// leavingAt is when the table first saw the entry say "leaving".
 	leavingAt time.Duration
-	// inFirstList is set when it said so in the first list the table saw: how long
-	// it has been saying so is then unknown.
+	// inFirstList is set if the entry said "leaving" in the first list that the
+	// table saw. How long it had said so before is then unknown.
 	inFirstList bool
 }
 
-func (l *listing) names(record Record) bool {
+func (l *listing) matches(record Record) bool {
 	return l.PeerAddress == "" || l.PeerAddress == record.PeerAddress
 }
 
-// MergeList replaces the platform's list by a newer one and reports whether it
-// changed. The list adds nodes to dial and marks nodes as leaving. It ends no
-// node that still speaks for itself (see Expire).
+// MergeList replaces the platform's list with a newer one and reports whether it
+// changed. The list adds nodes to dial and marks nodes as leaving. A node that is
+// not in it stays while it still publishes its record (see Expire).
 func (t *Table) MergeList(list []ListedMember, now time.Time) (changed bool) {
 	named := make(map[NodeID]bool, len(list))
 	for _, member := range list {
@@ -40,8 +40,8 @@
 }
 
 // MergeListChanges applies changes to the platform's list: the entries in listed
-// replace all former entries of the nodes they name, those of the nodes in
-// unlisted are removed. It reports whether the list changed.
+// replace all earlier entries of the nodes they name, and the entries of the nodes
+// in unlisted are removed. It reports whether the list changed.
 func (t *Table) MergeListChanges(listed []ListedMember, unlisted []NodeID, now time.Time) (changed bool) {
 	t.clock.advance(now)
 	first := !t.haveList
@@ -53,13 +53,13 @@
 		changed = t.replaceListings(node, listings) || changed
 	}
 	if first {
-		t.judgeAllListings()
+		t.evaluateAllListings()
 	}
 	return changed || first
 }
 
-// Listed returns the platform's list as last merged, in no particular order, for
-// nodes that have none.
+// Listed returns the platform's list as last merged, in no particular order, to be
+// sent to nodes that have no list.
 func (t *Table) Listed() []ListedMember {
 	var members []ListedMember
 	for _, listings := range t.list {
@@ -70,8 +70,8 @@
 	return members
 }
 
-// groupListings sorts entries by node. An entry that said "leaving" before keeps
-// its time.
+// groupListings groups entries by node. An unchanged entry that says "leaving"
+// keeps its leavingAt.
 func (t *Table) groupListings(listed []ListedMember, first bool) map[NodeID][]listing {
 	grouped := make(map[NodeID][]listing, len(listed))
 	for _, member := range listed {
@@ -81,12 +81,12 @@
 		member = internListed(member)
 		next := listing{ListedMember: member}
 		if member.State == ListedLeaving {
-			next.leavingAt = t.clock.awake
+			next.leavingAt = t.clock.elapsed
 			next.inFirstList = first
 		}
-		for _, former := range t.list[member.Node] {
-			if former.ListedMember == member {
-				next = former
+		for _, previous := range t.list[member.Node] {
+			if previous.ListedMember == member {
+				next = previous
 			}
 		}
 		grouped[member.Node] = append(grouped[member.Node], next)
@@ -113,68 +113,68 @@
 	} else {
 		t.list[node] = listings
 	}
-	t.touch(node)
+	t.markDirty(node)
 	if e := t.entries[node]; e != nil {
-		t.judgeListing(e)
+		t.evaluateListing(e)
 	}
 	return true
 }
 
-func (t *Table) judgeAllListings() {
+func (t *Table) evaluateAllListings() {
 	for _, e := range t.entries {
-		e.unlistedAt = t.clock.awake
-		t.judgeListing(e)
+		e.unlistedAt = t.clock.elapsed
+		t.evaluateListing(e)
 	}
 }
 
-// judgeListing works out what the list says of the entry's process.
-func (t *Table) judgeListing(e *entry) {
+// evaluateListing updates what the list says about the entry's process.
+func (t *Table) evaluateListing(e *entry) {
 	wasListed, wasLeaving := e.listed, e.leaving
 	e.listed, e.leaving = false, false
 	listings := t.list[e.record.Node]
 	for i := range listings {
 		l := &listings[i]
-		if !l.names(e.record) {
+		if !l.matches(e.record) {
 			continue
 		}
 		e.listed = true
-		e.leaving = e.leaving || l.State == ListedLeaving && t.meansProcess(l, e)
+		e.leaving = e.leaving || l.State == ListedLeaving && t.appliesTo(l, e)
 	}
 	if wasListed && !e.listed {
-		e.unlistedAt = t.clock.awake
+		e.unlistedAt = t.clock.elapsed
 	}
 	if wasListed != e.listed || wasLeaving != e.leaving {
-		t.touch(e.record.Node)
+		t.markDirty(e.record.Node)
 	}
 }
 
-// meansProcess tells whether an entry that says "leaving" means the process of
-// the record held, or an earlier one of the same name and address that the
-// lagging list still speaks of:
+// appliesTo reports whether an entry that says "leaving" means the process of
+// the held record, rather than an earlier process of the same name and address
+// that the lagging list still names:
 //
-//   - An entry that said so before the process started means an earlier one, for
-//     as long as it stands.
-//   - A later one means the process if the table knows of no earlier one.
+//   - An entry that said "leaving" before the process started means an earlier
+//     process for as long as it is listed.
+//   - A later entry means this process if the table knows of no earlier one.
 //   - Otherwise the table waits until the process is older than ListLag: an entry
-//     that stands then means the process.
-func (t *Table) meansProcess(l *listing, e *entry) bool {
+//     that is still listed then means this process.
+func (t *Table) appliesTo(l *listing, e *entry) bool {
 	switch {
 	case l.leavingAt < e.startedAt:
 		return false
 	case e.replaced || l.inFirstList:
-		return t.clock.awake >= e.startedAt+ListLag
+		return t.clock.elapsed >= e.startedAt+ListLag
 	default:
 		return true
 	}
 }
 
-// listedElsewhere returns an entry of the list that gives the node an address
-// where the record held, if any, does not say it is; nil when there is none. An
-// entry counts as well for a node that the table buried, which may be alive.
+// listedElsewhere returns an entry of the list with an address for the node that
+// differs from that of the held record, or nil. Without a record, and for a node
+// that is presumed gone but may be alive, any entry counts.
 func (t *Table) listedElsewhere(node NodeID, e *entry) *listing {
 	listings := t.list[node]
 	for i := range listings {
-		if e == nil || e.buried || !listings[i].names(e.record) {
+		if e == nil || e.presumedGone || !listings[i].matches(e.record) {
 			return &listings[i]
 		}
 	}
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestListWrong drives a table through the ways in which the platform's list is
-// wrong for a while. Each step happens at the given time.
-func TestListWrong(t *testing.T) {
+// TestInaccurateList drives a table through the ways in which the platform's list
+// can be wrong for a while. Each step runs at the given second.
+func TestInaccurateList(t *testing.T) {
 	old := record("a", started(-time.Hour), 3)
 	young := record("a", started(0), 1)
 	successor := record("a", started(10*time.Second), 1)
@@ -20,80 +20,80 @@
 		at  time.Duration
 		act func(*simulation)
 	}
-	hear := func(r Record) func(*simulation) { return func(s *simulation) { s.hear(r) } }
-	read := func(l ...ListedMember) func(*simulation) { return func(s *simulation) { s.read(l...) } }
+	receive := func(r Record) func(*simulation) { return func(s *simulation) { s.receive(r) } }
+	mergeList := func(l ...ListedMember) func(*simulation) { return func(s *simulation) { s.mergeList(l...) } }
 	suspect := func(r Record) func(*simulation) { return func(s *simulation) { s.suspect(r) } }
-	work := func(want bool) func(*simulation) {
+	takesWork := func(want bool) func(*simulation) {
 		return func(s *simulation) {
-			qt.Assert(t, s.takesWork("a"), qt.Equals, want, qt.Commentf("at %v", s.clock.awake))
+			qt.Assert(t, s.takesWork("a"), qt.Equals, want, qt.Commentf("at %v", s.clock.elapsed))
 		}
 	}
 	known := func(want bool) func(*simulation) {
 		return func(s *simulation) {
-			qt.Assert(t, s.knows("a"), qt.Equals, want, qt.Commentf("at %v", s.clock.awake))
+			qt.Assert(t, s.knows("a"), qt.Equals, want, qt.Commentf("at %v", s.clock.elapsed))
 		}
 	}
 	cases := map[string][]step{
 		"listed without a record: known, no endpoint": {
-			{0, read(live)}, {0, known(true)}, {0, work(false)},
+			{0, mergeList(live)}, {0, known(true)}, {0, takesWork(false)},
 		},
 		"leaving stops new work at once": {
-			{0, hear(old)}, {0, read(live)}, {5, work(true)}, {5, read(leaving)}, {5, work(false)},
-			{9, read(live)}, {9, work(true)},
+			{0, receive(old)}, {0, mergeList(live)}, {5, takesWork(true)}, {5, mergeList(leaving)}, {5, takesWork(false)},
+			{9, mergeList(live)}, {9, takesWork(true)},
 		},
 		"leaving soon after a start, no predecessor known": {
-			{0, read(live)}, {1, hear(young)}, {5, read(leaving)}, {5, work(false)},
+			{0, mergeList(live)}, {1, receive(young)}, {5, mergeList(leaving)}, {5, takesWork(false)},
 		},
-		"leaving in the first list of a new table, of an old process": {
-			{0, read(leaving)}, {3, hear(old)}, {3, work(false)},
+		"leaving in the first list of a new table, old process": {
+			{0, mergeList(leaving)}, {3, receive(old)}, {3, takesWork(false)},
 		},
-		"leaving in the first list, of a process that started after it": {
-			{0, read(leaving)}, {10, hear(successor)}, {10, work(true)}, {200, work(true)},
+		"leaving in the first list, process started later": {
+			{0, mergeList(leaving)}, {10, receive(successor)}, {10, takesWork(true)}, {200, takesWork(true)},
 		},
-		"leaving in the first list, of a process that is young": {
-			{0, hear(young)}, {5, read(leaving)}, {5, work(true)}, {59, work(true)}, {61, work(false)},
+		"leaving in the first list, young process": {
+			{0, receive(young)}, {5, mergeList(leaving)}, {5, takesWork(true)}, {59, takesWork(true)}, {61, takesWork(false)},
 		},
-		"a lagging entry stands while the process is replaced": {
-			{0, read(live)}, {0, hear(old)}, {1, read(leaving)}, {1, work(false)},
-			{10, hear(successor)}, {10, work(true)}, {65, read(live)}, {65, work(true)},
-			{80, read(leaving)}, {80, work(false)},
+		"a lagging entry remains while the process is replaced": {
+			{0, mergeList(live)}, {0, receive(old)}, {1, mergeList(leaving)}, {1, takesWork(false)},
+			{10, receive(successor)}, {10, takesWork(true)}, {65, mergeList(live)}, {65, takesWork(true)},
+			{80, mergeList(leaving)}, {80, takesWork(false)},
 		},
-		"an entry that lags behind the replacement": {
-			{0, read(live)}, {0, hear(old)}, {10, hear(successor)}, {20, read(leaving)}, {20, work(true)},
-			{65, read(live)}, {75, work(true)},
+		"a lagging entry read after the replacement": {
+			{0, mergeList(live)}, {0, receive(old)}, {10, receive(successor)}, {20, mergeList(leaving)}, {20, takesWork(true)},
+			{65, mergeList(live)}, {75, takesWork(true)},
 		},
 		"an entry that outlasts the lag means the successor": {
-			{0, read(live)}, {0, hear(old)}, {10, hear(successor)}, {20, read(leaving)}, {69, work(true)},
-			{71, work(false)},
+			{0, mergeList(live)}, {0, receive(old)}, {10, receive(successor)}, {20, mergeList(leaving)}, {69, takesWork(true)},
+			{71, takesWork(false)},
 		},
 		"leaving at another address": {
-			{0, hear(moved)}, {0, read(leaving)}, {100, work(true)},
+			{0, receive(moved)}, {0, mergeList(leaving)}, {100, takesWork(true)},
 		},
-		"unlisted, speaking": {
-			{0, hear(old)}, {0, read(live)}, {5, read()}, {70, work(true)},
-			{100, hear(record("a", old.Incarnation, 4))}, {190, work(true)}, {300, known(false)},
+		"unlisted, still publishing": {
+			{0, receive(old)}, {0, mergeList(live)}, {5, mergeList()}, {70, takesWork(true)},
+			{100, receive(record("a", old.Incarnation, 4))}, {190, takesWork(true)}, {300, known(false)},
 		},
 		"unlisted, suspected, silent": {
-			{0, hear(old)}, {0, read(live)}, {5, suspect(old)}, {60, work(true)}, {70, read()},
+			{0, receive(old)}, {0, mergeList(live)}, {5, suspect(old)}, {60, takesWork(true)}, {70, mergeList()},
 			{99, known(true)}, {101, known(false)},
 		},
 		"unlisted, suspected, refuted": {
-			{0, hear(old)}, {0, read(live)}, {70, read()}, {70, suspect(old)},
-			{80, hear(record("a", old.Incarnation, 4))}, {110, work(true)},
+			{0, receive(old)}, {0, mergeList(live)}, {70, mergeList()}, {70, suspect(old)},
+			{80, receive(record("a", old.Incarnation, 4))}, {110, takesWork(true)},
 		},
-		"listed, suspected: stays as a hint": {
-			{0, hear(old)}, {0, read(live)}, {5, suspect(old)}, {500, work(true)},
+		"listed, suspected: only a hint": {
+			{0, receive(old)}, {0, mergeList(live)}, {5, suspect(old)}, {500, takesWork(true)},
 		},
-		"no list at all ends nobody": {
-			{0, hear(old)}, {0, suspect(old)}, {500, work(true)},
+		"without any list no node ends": {
+			{0, receive(old)}, {0, suspect(old)}, {500, takesWork(true)},
 		},
 		"the first list comes late": {
-			{0, hear(old)}, {400, read()}, {410, work(true)}, {579, known(true)}, {581, known(false)},
+			{0, receive(old)}, {400, mergeList()}, {410, takesWork(true)}, {579, known(true)}, {581, known(false)},
 		},
-		"buried, then listed again and speaking": {
-			{0, hear(old)}, {0, suspect(old)}, {0, read()}, {31, known(false)},
-			{40, hear(old)}, {40, known(false)}, {50, read(live)}, {50, known(true)}, {50, work(false)},
-			{51, hear(record("a", old.Incarnation, 4))}, {51, work(true)},
+		"presumed gone, then listed again and publishing": {
+			{0, receive(old)}, {0, suspect(old)}, {0, mergeList()}, {31, known(false)},
+			{40, receive(old)}, {40, known(false)}, {50, mergeList(live)}, {50, known(true)}, {50, takesWork(false)},
+			{51, receive(record("a", old.Incarnation, 4))}, {51, takesWork(true)},
 		},
 	}
 	for name, steps := range cases {
@@ -107,42 +107,42 @@
 	}
 }
 
-func TestUnlistedSelfPublishesAgain(t *testing.T) {
+func TestUnlistedSelfRepublishes(t *testing.T) {
 	c := qt.New(t)
 	table := newSimulation("self")
-	table.read(listed("a", ListedLive))
+	table.mergeList(listed("a", ListedLive))
 	before := table.Self()
 	table.wait(RefreshInterval)
 	c.Assert(table.Self().Sequence, qt.Equals, before.Sequence+1)
 
-	table.read(listed("self", ListedLive))
+	table.mergeList(listed("self", ListedLive))
 	table.wait(10 * RefreshInterval)
-	c.Assert(table.Self().Sequence, qt.Equals, before.Sequence+1, qt.Commentf("quiet while listed"))
+	c.Assert(table.Self().Sequence, qt.Equals, before.Sequence+1, qt.Commentf("no new record while listed"))
 }
 
-func TestBuriedNodeIsToldAndRefutes(t *testing.T) {
+func TestPresumedGoneNodeIsNotifiedAndRefutes(t *testing.T) {
 	c := qt.New(t)
 	left, right := newSimulation("left"), newSimulation("right")
-	left.hear(right.Self())
-	left.read()
+	left.receive(right.Self())
+	left.mergeList()
 	left.wait(UnlistedLifetime)
 	c.Assert(left.knows("right"), qt.IsFalse)
 
 	c.Assert(left.RecordsIn([]int{bucketOf("right")}), qt.HasLen, 0, qt.Commentf("it is not passed on"))
 
-	right.read(listed("left", ListedLive), listed("right", ListedLive))
-	left.hear(right.Self())
+	right.mergeList(listed("left", ListedLive), listed("right", ListedLive))
+	left.receive(right.Self())
 	c.Assert(left.knows("right"), qt.IsFalse, qt.Commentf("an old record does not bring it back"))
 	repair(left, right)
-	left.hear(right.Self())
+	left.receive(right.Self())
 	c.Assert(left.knows("right"), qt.IsTrue)
 }
 
-func TestPauseIsNotSilenceOfOthers(t *testing.T) {
+func TestPauseDoesNotCountAsSilenceOfOthers(t *testing.T) {
 	c := qt.New(t)
 	table := newSimulation("self")
-	table.hear(record("a", 1, 1))
-	table.read()
+	table.receive(record("a", 1, 1))
+	table.mergeList()
 	table.now = table.now.Add(time.Hour)
 	table.Expire(table.now)
 	c.Assert(table.knows("a"), qt.IsTrue)
@@ -150,7 +150,7 @@
 	table.Expire(table.now)
 	c.Assert(table.knows("a"), qt.IsTrue)
 	table.wait(UnlistedLifetime)
-	c.Assert(table.knows("a"), qt.IsFalse, qt.Commentf("a clock set back does not stop the time"))
+	c.Assert(table.knows("a"), qt.IsFalse, qt.Commentf("a clock set back does not stop elapsed time"))
 }
 
 func TestTombstones(t *testing.T) {
@@ -160,8 +160,8 @@
 	gone.State = StateGone
 	empty := table.Digest()
 
-	c.Assert(table.hear(record("a", 1, 1)), qt.HasLen, 1)
-	c.Assert(table.hear(gone), qt.HasLen, 1)
+	c.Assert(table.receive(record("a", 1, 1)), qt.HasLen, 1)
+	c.Assert(table.receive(gone), qt.HasLen, 1)
 	c.Assert(table.knows("a"), qt.IsFalse)
 	c.Assert(table.Digest(), qt.Equals, empty)
 	c.Assert(table.RecordsIn([]int{bucketOf("a")}), qt.Contains, gone)
@@ -169,15 +169,15 @@
 	c.Assert(table.Len(), qt.Equals, 1)
 	successor := record("b", 1, 1)
 	successor.PeerAddress = gone.PeerAddress
-	table.hear(successor)
-	c.Assert(table.knows("b"), qt.IsTrue, qt.Commentf("a node that is forgotten holds no address"))
-	table.hear(record("b", 1, 2))
+	table.receive(successor)
+	c.Assert(table.knows("b"), qt.IsTrue, qt.Commentf("a forgotten node owns no address"))
+	table.receive(record("b", 1, 2))
 
-	c.Assert(table.hear(gone), qt.HasLen, 0, qt.Commentf("of a node never known alive"))
+	c.Assert(table.receive(gone), qt.HasLen, 0, qt.Commentf("tombstone of a node never known alive"))
 	c.Assert(table.RecordsIn([]int{bucketOf("a")}), qt.Not(qt.Contains), gone)
-	c.Assert(table.hear(record("a", 1, 1)), qt.HasLen, 0)
+	c.Assert(table.receive(record("a", 1, 1)), qt.HasLen, 0)
 	c.Assert(table.knows("a"), qt.IsFalse)
-	c.Assert(table.RecordsIn([]int{bucketOf("a")}), qt.Contains, gone, qt.Commentf("some table holds it alive"))
+	c.Assert(table.RecordsIn([]int{bucketOf("a")}), qt.Contains, gone, qt.Commentf("another table still holds it alive"))
 }
 
 func TestOwnNameClaimed(t *testing.T) {
@@ -185,49 +185,49 @@
 	later := record("self", started(time.Hour), 7)
 
 	young := newSimulation("self")
-	young.hear(later)
+	young.receive(later)
 	c.Assert(young.Self().Supersedes(later), qt.IsTrue)
 
 	replaced := newSimulation("self")
-	replaced.wait(2 * claimWindow)
-	replaced.hear(later)
+	replaced.wait(2 * immediateClaimWindow)
+	replaced.receive(later)
 	c.Assert(replaced.Contested(), qt.IsTrue)
 	c.Assert(replaced.Self().Supersedes(later), qt.IsFalse)
 	elsewhere := listed("self", ListedLive)
 	elsewhere.PeerAddress = "elsewhere"
-	replaced.read(elsewhere)
+	replaced.mergeList(elsewhere)
 	replaced.wait(time.Minute)
 	c.Assert(replaced.Self().Supersedes(later), qt.IsFalse, qt.Commentf("the list names the successor"))
-	replaced.read(listed("self", ListedLive))
+	replaced.mergeList(listed("self", ListedLive))
 	replaced.wait(time.Second)
 	c.Assert(replaced.Self().Supersedes(later), qt.IsTrue)
 }
 
-func TestYoungProcessDoesNotAnswerEveryClaim(t *testing.T) {
+func TestYoungProcessDoesNotCounterEveryClaim(t *testing.T) {
 	c := qt.New(t)
 	table := newSimulation("self")
 	for rival := range 10 {
-		table.hear(record("self", started(time.Duration(rival+1)*time.Hour), 1))
+		table.receive(record("self", started(time.Duration(rival+1)*time.Hour), 1))
 	}
-	c.Assert(table.claims, qt.Equals, freeClaims)
+	c.Assert(table.claims, qt.Equals, immediateClaims)
 	c.Assert(table.Contested(), qt.IsTrue)
 }
 
-func TestTwoLiveProcessesOfOneNameDoNotFlood(t *testing.T) {
+func TestTwoLiveProcessesOfOneNameDoNotOutbidEndlessly(t *testing.T) {
 	c := qt.New(t)
 	first, second := newSimulation("self"), newSimulation("self")
 	rounds := 0
 	for range 3600 {
-		for first.hear(second.Self()); second.Self().Supersedes(first.Self()); rounds++ {
+		for first.receive(second.Self()); second.Self().Supersedes(first.Self()); rounds++ {
 			first.wait(time.Second)
 			second.wait(time.Second)
-			second.hear(first.Self())
-			first.hear(second.Self())
+			second.receive(first.Self())
+			first.receive(second.Self())
 			if rounds > 3600 {
 				break
 			}
 		}
-		second.hear(first.Self())
+		second.receive(first.Self())
 	}
 	claims := first.claims + second.claims
 	c.Assert(claims <= 40, qt.IsTrue, qt.Commentf("%d claims in an hour", claims))
@@ -238,7 +238,7 @@
 	table := newSimulation("self")
 	before := record("before", started(time.Hour), 1) // its clock was ahead
 	before.PeerAddress = table.Self().PeerAddress
-	table.hear(before)
+	table.receive(before)
 	c.Assert(table.Self().Incarnation > before.Incarnation, qt.IsTrue)
 	c.Assert(table.knows("self"), qt.IsTrue)
 	c.Assert(table.knows("before"), qt.IsFalse)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership owns what a node believes about the other instances of the
-// fleet: the platform's lagging list, the records that each instance writes
+// Package membership holds what a node knows about the other instances of the
+// fleet: the platform's list, which lags, the records that each instance publishes
 // about itself, and what neighbours observe. It merges them into one immutable
 // View. It is a state machine without sockets, goroutines or a wall clock.
 package membership
@@ -7,9 +7,9 @@
 // NodeID is the name of an instance from its settings, unique in the fleet.
 type NodeID string
 
-// Incarnation tells processes of one NodeID apart: a later process has a higher
-// one. A process takes its start time in Unix milliseconds, and raises it above
-// any record of its name that it meets.
+// Incarnation distinguishes the processes of one NodeID: a later process has a
+// higher one. A process uses its start time in Unix milliseconds and raises it
+// above that of any other record of its name that it receives.
 type Incarnation uint64
 
 // State is what an instance says about its own readiness for new work.
@@ -17,10 +17,10 @@
 
 // The states of an instance.
 const (
-	StateStarting State = 1 // not yet ready: no work
+	StateStarting State = 1 // not yet ready, takes no work
 	StateReady    State = 2 // takes new work
 	StateDraining State = 3 // finishes its work, takes no new work
-	StateGone     State = 4 // ended; the record is kept as a tombstone for a while
+	StateGone     State = 4 // ended; the record is kept as a tombstone for TombstoneLifetime
 )
 
 // String returns the state in lower case.
@@ -48,9 +48,9 @@
 	State       State       `json:"state"`
 	Region      string      `json:"region"`
 	Zone        string      `json:"zone"`
-	// PeerAddress is where the node takes links of other nodes (IP:port).
+	// PeerAddress is where the node accepts links of other nodes (IP:port).
 	PeerAddress string `json:"peer_address"`
-	// DataAddress is where the node's inbound proxy takes requests (IP:port);
+	// DataAddress is where the node's inbound proxy accepts requests (IP:port);
 	// empty for a node without a back end.
 	DataAddress string `json:"data_address,omitempty"`
 	// Service is the service of the back end beside the node, or empty.
@@ -67,7 +67,7 @@
 	return r.Sequence > other.Sequence
 }
 
-// ListedState is what the platform's list says of a machine.
+// ListedState is the state of a machine according to the platform's list.
 type ListedState string
 
 // The states of the platform's list.
@@ -76,8 +76,8 @@
 	ListedLeaving ListedState = "leaving"
 )
 
-// ListedMember is one entry of the platform's membership list. The list lags and
-// may be wrong in both directions.
+// ListedMember is one entry of the platform's membership list. The list lags: it
+// may miss live nodes and still name ended ones.
 type ListedMember struct {
 	Node        NodeID      `json:"node"`
 	PeerAddress string      `json:"peer_address"`
@@ -87,8 +87,8 @@
 	State       ListedState `json:"state"`
 }
 
-// Observation is a neighbour's report that it cannot reach a node. It counts only
-// for the exact (Incarnation, Sequence) it names; the subject refutes it by
+// Observation is a neighbour's report that it cannot reach a node. It applies only
+// to the exact (Incarnation, Sequence) it names; the subject refutes it by
 // publishing a record with a higher Sequence.
 type Observation struct {
 	Subject     NodeID      `json:"subject"`
--- a/internal/membership/observe.go
+++ b/internal/membership/observe.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Observe merges what neighbours report and returns those observations that
-// raised a suspicion, for passing on. An observation counts only for the exact
-// record it names: one about a record that the table does not hold, or about a
-// node that is suspected or gone already, is dropped. One about the own record is
-// refuted by raising the own Sequence. A caller merges the records of a message
+// Observe merges the observations of neighbours and returns those that raised a
+// suspicion, to be passed on. An observation applies only to the exact record it
+// names: one about a record that the table does not hold, or about a node that is
+// already suspected or gone, is dropped. One about this node's own record is
+// refuted by raising its Sequence. The caller must merge the records of a message
 // before its observations.
-func (t *Table) Observe(observations []Observation, now time.Time) (news []Observation) {
+func (t *Table) Observe(observations []Observation, now time.Time) (raised []Observation) {
 	t.clock.advance(now)
 	for _, observation := range observations {
 		if observation.Subject == t.self.Node {
@@ -16,10 +16,10 @@
 			continue
 		}
 		if t.suspect(observation) {
-			news = append(news, observation)
+			raised = append(raised, observation)
 		}
 	}
-	return news
+	return raised
 }
 
 func (t *Table) suspect(observation Observation) bool {
@@ -31,21 +31,21 @@
 		return false
 	}
 	e.suspectedBy = NodeID(shared(string(observation.Observer)))
-	e.suspectedAt = t.clock.awake
-	t.recount(e)
-	t.touch(e.record.Node)
+	e.suspectedAt = t.clock.elapsed
+	t.updateDigest(e)
+	t.markDirty(e.record.Node)
 	return true
 }
 
-// refute raises the own sequence above a suspicion. One that names no current
-// record was answered already.
+// refute raises the sequence of this node's record above that of a suspicion. A
+// suspicion that does not name the current record was already refuted.
 func (t *Table) refute(observation Observation) {
 	if !observation.matches(t.self) || t.self.State == StateGone {
 		return
 	}
 	record := t.self
 	record.Sequence++
-	t.publish(record)
+	t.setSelf(record)
 }
 
 func (o Observation) matches(record Record) bool {
--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -3,25 +3,25 @@
 import "time"
 
 // MergeRecords merges records published by their owners and returns those that
-// were new, for passing on. A record that gives the own name or address to a
-// later incarnation raises the own incarnation above it: at once while the
-// process is young, later with growing delays, so that two live processes of one
-// name cannot outbid each other without end.
-func (t *Table) MergeRecords(records []Record, now time.Time) (news []Record) {
+// were new, to be passed on. A record that gives this node's name or address to a
+// later incarnation makes the table raise its own incarnation above it: at once
+// while the process is young, later with growing delays, so that two live
+// processes of one name cannot outbid each other endlessly.
+func (t *Table) MergeRecords(records []Record, now time.Time) (merged []Record) {
 	t.clock.advance(now)
 	for _, record := range records {
 		if !valid(record) {
 			continue
 		}
 		if record.Node == t.self.Node {
-			t.meetOwnName(record)
+			t.checkOwnName(record)
 			continue
 		}
 		if t.merge(record) {
-			news = append(news, record)
+			merged = append(merged, record)
 		}
 	}
-	return news
+	return merged
 }
 
 func valid(record Record) bool {
@@ -38,8 +38,8 @@
 		record.Incarnation > 0 && record.Incarnation < maxIncarnation
 }
 
-// merge takes the record if it is newer than the one held, and reports whether
-// it is worth passing on.
+// merge stores the record if it is newer than the held one, and reports whether it
+// should be passed on.
 func (t *Table) merge(record Record) bool {
 	hash := hashRecord(record)
 	e := t.entries[record.Node]
@@ -47,26 +47,28 @@
 	case e == nil && len(t.entries) >= maxMembers:
 		return false
 	case e == nil:
-		e = &entry{bucket: bucketOf(record.Node), unlistedAt: t.clock.awake}
-		e.secondHand = record.State == StateGone
+		e = &entry{bucket: bucketOf(record.Node), unlistedAt: t.clock.elapsed}
+		e.neverAlive = record.State == StateGone
 		t.entries[record.Node] = e
-		t.start(e, record)
+		t.setStartedAt(e, record)
 	case !newer(record, hash, e):
-		// The sender may believe in the older record: it is told of the tombstone.
-		e.secondHand = e.secondHand && record.State == StateGone
+		// The sender may hold an older record of a live node, so that the tombstone
+		// must be sent to it.
+		e.neverAlive = e.neverAlive && record.State == StateGone
 		return false
 	case record.Incarnation > e.record.Incarnation:
 		e.replaced = true
-		t.start(e, record)
+		t.setStartedAt(e, record)
 	}
-	e.secondHand = e.secondHand && record.State == StateGone
+	e.neverAlive = e.neverAlive && record.State == StateGone
 	t.store(e, record, hash)
-	t.meetOwnAddress(record)
-	return !e.secondHand
+	t.checkOwnAddress(record)
+	return !e.neverAlive
 }
 
-// newer orders records of one node. Two different records with one sequence break
-// the protocol; their hashes decide, so that all tables settle on the same one.
+// newer reports whether a record replaces the held one of the same node. Two
+// different records with one sequence violate the protocol; their hashes decide, so
+// that all tables converge on the same one.
 func newer(record Record, hash uint64, held *entry) bool {
 	if record.Supersedes(held.record) {
 		return true
@@ -74,32 +76,31 @@
 	return !held.record.Supersedes(record) && hash > held.hash
 }
 
-// start notes the earliest sign of a process. Where the table knew its
-// predecessor, the process is new to the fleet whatever its clock says.
-func (t *Table) start(e *entry, record Record) {
-	e.startedAt = t.clock.awake
+// setStartedAt sets the earliest known time of a process. If the table knew its
+// predecessor, the process has just started, whatever its own clock says.
+func (t *Table) setStartedAt(e *entry, record Record) {
+	e.startedAt = t.clock.elapsed
 	if !e.replaced {
-		e.startedAt = min(t.clock.awake, t.clock.startOf(record.Incarnation))
+		e.startedAt = min(t.clock.elapsed, t.clock.startTime(record.Incarnation))
 	}
 }
 
-// store puts a record into its entry and brings all that depends on it up to
-// date.
+// store sets the record of an entry and updates everything derived from it.
 func (t *Table) store(e *entry, record Record, hash uint64) {
 	before := e.record
 	e.record = intern(record)
 	e.hash = hash
-	e.heardAt = t.clock.awake
+	e.mergedAt = t.clock.elapsed
 	e.suspectedBy = ""
-	e.buried = false
+	e.presumedGone = false
 	t.moveAddresses(before, e.record)
-	t.judgeListing(e)
-	t.recount(e)
-	t.touch(record.Node)
+	t.evaluateListing(e)
+	t.updateDigest(e)
+	t.markDirty(record.Node)
 }
 
-// publish stores the own record.
-func (t *Table) publish(record Record) {
+// setSelf stores this node's own record.
+func (t *Table) setSelf(record Record) {
 	e := t.entries[record.Node]
 	if e == nil {
 		e = &entry{bucket: bucketOf(record.Node)}
@@ -109,43 +110,46 @@
 	t.self = e.record
 }
 
-// meetOwnName looks at a record that bears the own name.
-func (t *Table) meetOwnName(record Record) {
+// checkOwnName handles a record with this node's name.
+func (t *Table) checkOwnName(record Record) {
 	if record == t.self || t.self.Supersedes(record) {
 		return
 	}
-	t.contest(record.Incarnation)
+	t.resolveConflict(record.Incarnation)
 }
 
-// meetOwnAddress looks at a record of another node that may hold the own address.
-func (t *Table) meetOwnAddress(record Record) {
+// checkOwnAddress handles a record of another node that may have this node's
+// address.
+func (t *Table) checkOwnAddress(record Record) {
 	if sharesAddress(record, t.self) && outranks(record, t.self) {
-		t.contest(record.Incarnation)
+		t.resolveConflict(record.Incarnation)
 	}
 }
 
-// contest answers a claim to the own name or address.
-func (t *Table) contest(theirs Incarnation) {
-	if !t.Contested() && t.clock.awake >= claimWindow {
-		t.nextClaimAt = max(t.nextClaimAt, t.clock.awake+t.claimDelay())
+// resolveConflict responds to a claim of another process to this node's name or
+// address.
+func (t *Table) resolveConflict(remote Incarnation) {
+	if !t.Contested() && t.clock.elapsed >= immediateClaimWindow {
+		t.nextClaimAt = max(t.nextClaimAt, t.clock.elapsed+t.claimDelay())
 	}
-	t.contested = max(t.contested, theirs)
+	t.conflict = max(t.conflict, remote)
 	t.claimIfDue()
 }
 
-// claimIfDue raises the own incarnation above a contested one once it may.
+// claimIfDue raises this node's incarnation above a conflicting one if the claim
+// delay is over and the list does not name a replacement.
 func (t *Table) claimIfDue() bool {
-	if !t.Contested() || t.clock.awake < t.nextClaimAt || t.replacedInList() {
+	if !t.Contested() || t.clock.elapsed < t.nextClaimAt || t.replacedInList() {
 		return false
 	}
 	record := t.self
-	record.Incarnation = t.contested + 1
+	record.Incarnation = t.conflict + 1
 	record.Sequence = firstSequence
-	t.contested = 0
-	t.publish(record)
+	t.conflict = 0
+	t.setSelf(record)
 	t.claims++
-	if t.claims >= freeClaims {
-		t.nextClaimAt = t.clock.awake + t.claimDelay()
+	if t.claims >= immediateClaims {
+		t.nextClaimAt = t.clock.elapsed + t.claimDelay()
 	}
 	return true
 }
@@ -154,8 +158,7 @@
 	return claimDelay << min(t.claims, maxClaimDoubling)
 }
 
-// replacedInList reports whether the list gives the own name to another address
-// and not to the own.
+// replacedInList reports whether the list names this node at another address only.
 func (t *Table) replacedInList() bool {
 	e := t.entries[t.self.Node]
 	return !e.listed && len(t.list[t.self.Node]) > 0
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Bounds on what other nodes can make a table hold.
+// Limits on what a table holds of other nodes' data.
 const (
 	maxMembers     = 20_000
 	maxTextBytes   = 255
@@ -15,40 +15,42 @@
 const (
 	firstSequence = 1
 
-	// A young process answers this many claims to its name or address at once.
-	claimWindow = time.Minute
-	freeClaims  = 3
-	// Later ones wait for claimDelay, doubled for each claim up to a limit.
+	// During immediateClaimWindow a process counters this many claims to its name
+	// or address without delay.
+	immediateClaimWindow = time.Minute
+	immediateClaims      = 3
+	// Further claims are countered after claimDelay, doubled for each claim up to
+	// maxClaimDoubling times.
 	claimDelay       = 10 * time.Second
 	maxClaimDoubling = 6
 )
 
-// Table merges all that a node hears of the fleet. One goroutine owns it. The
-// time is passed in by its callers.
+// Table merges everything that a node learns about the fleet. It is not safe for
+// concurrent use. Callers pass in the current time.
 //
-// Records form a register per node in which the highest (Incarnation, Sequence)
-// stays; what follows from the list, from suspicion or from the reuse of an
-// address is worked out beside it and never changes a record. So tables that
-// heard the same records hold the same ones, whatever the order.
+// For each node the record with the highest (Incarnation, Sequence) wins. What
+// follows from the list, from suspicions or from the reuse of an address is kept
+// separately and never changes a record. So tables that merged the same records
+// hold the same ones, in whatever order they arrived.
 //
-// MergeRecords, MergeList, MergeListChanges, Observe and Expire may raise the own
-// record: a caller compares Self before and after, and publishes it when it
-// differs.
+// MergeRecords, MergeList, MergeListChanges, Observe and Expire may change this
+// node's own record. A caller compares Self before and after, and publishes it if
+// it differs.
 type Table struct {
 	self    Record
 	entries map[NodeID]*entry
 	buckets [Buckets]uint64
 	clock   clock
 
-	// holders names the node whose process last took an address.
-	holders map[string]NodeID
+	// addressOwners maps an address to the node whose process took it last.
+	addressOwners map[string]NodeID
 
 	list     map[NodeID][]listing
 	haveList bool
 
-	// contested is the highest incarnation that a record gave to the own name or
-	// address, if it is not below the own; 0: none.
-	contested   Incarnation
+	// conflict is the highest incarnation of another process with this node's name
+	// or address, if not below this node's own; 0: none.
+	conflict    Incarnation
 	claims      int
 	nextClaimAt time.Duration
 
@@ -56,25 +58,25 @@
 	dirty map[NodeID]struct{}
 }
 
-// NewTable returns a table that holds only the own record.
+// NewTable returns a table that holds only the node's own record.
 func NewTable(self Record) *Table {
 	t := &Table{
-		entries: make(map[NodeID]*entry),
-		holders: make(map[string]NodeID),
-		list:    make(map[NodeID][]listing),
-		view:    &View{},
-		dirty:   make(map[NodeID]struct{}),
+		entries:       make(map[NodeID]*entry),
+		addressOwners: make(map[string]NodeID),
+		list:          make(map[NodeID][]listing),
+		view:          &View{},
+		dirty:         make(map[NodeID]struct{}),
 	}
 	self.Sequence = max(self.Sequence, firstSequence)
-	t.publish(self)
+	t.setSelf(self)
 	return t
 }
 
-// Self returns the own record as last published.
+// Self returns this node's current record.
 func (t *Table) Self() Record { return t.self }
 
-// SetSelfState publishes the own state. It returns the own record and whether it
-// changed.
+// SetSelfState sets the state in this node's record. It returns the record and
+// whether it changed.
 func (t *Table) SetSelfState(state State) (Record, bool) {
 	if t.self.State == state {
 		return t.self, false
@@ -82,14 +84,14 @@
 	record := t.self
 	record.State = state
 	record.Sequence++
-	t.publish(record)
+	t.setSelf(record)
 	return t.self, true
 }
 
-// Contested reports whether another process holds the own name or address with
-// a later incarnation: the own process was replaced, or two have one name.
+// Contested reports whether another process has this node's name or address with
+// a later incarnation: this process was replaced, or two processes share a name.
 func (t *Table) Contested() bool {
-	return t.contested != 0 && t.contested >= t.self.Incarnation
+	return t.conflict != 0 && t.conflict >= t.self.Incarnation
 }
 
 // Len returns how many records the table holds, tombstones included.
@@ -104,8 +106,8 @@
 	return e.record, true
 }
 
-// View returns the current picture. It stays the same pointer until something
-// in it changes.
+// View returns the current view. It returns the same pointer until the content
+// changes.
 func (t *Table) View() *View {
 	if len(t.dirty) == 0 {
 		return t.view
@@ -118,16 +120,16 @@
 	return t.view
 }
 
-// changes compares the nodes that were touched with the last view. Both results
-// are sorted by NodeID.
+// changes compares the dirty nodes with the last view. Both results are sorted by
+// NodeID.
 func (t *Table) changes() (changed []*Member, removed []NodeID) {
 	for node := range t.dirty {
 		before := t.view.find(node)
-		member, is := t.member(node)
+		member, known := t.member(node)
 		switch {
-		case is && (before == nil || *before != member):
+		case known && (before == nil || *before != member):
 			changed = append(changed, &member)
-		case !is && before != nil:
+		case !known && before != nil:
 			removed = append(removed, node)
 		}
 	}
@@ -136,12 +138,11 @@
 	return changed, removed
 }
 
-// member works out what the table believes of a node; false when it is not known
-// or has ended.
+// member returns the merged state of a node; false if it is not known or has ended.
 func (t *Table) member(node NodeID) (Member, bool) {
 	e := t.entries[node]
 	other := t.listedElsewhere(node, e)
-	if e == nil || e.ended() || t.displaced(e) {
+	if e == nil || e.ended() || t.lostAddress(e) {
 		return memberFromList(other)
 	}
 	member := Member{
@@ -156,7 +157,7 @@
 	return member, true
 }
 
-// memberFromList describes a node of which only the list tells.
+// memberFromList returns the member for a node that only the list names.
 func memberFromList(l *listing) (Member, bool) {
 	if l == nil {
 		return Member{}, false
@@ -172,4 +173,4 @@
 	return Member{Record: record, Listed: true, Leaving: l.State == ListedLeaving}, true
 }
 
-func (t *Table) touch(node NodeID) { t.dirty[node] = struct{}{} }
+func (t *Table) markDirty(node NodeID) { t.dirty[node] = struct{}{} }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.UnixMilli(1_000_000_000_000)
 
-// started is the incarnation of a process that started after epoch.
+// started returns the incarnation of a process that started that long after epoch.
 func started(after time.Duration) Incarnation {
 	return Incarnation(epoch.Add(after).UnixMilli())
 }
@@ -28,7 +28,7 @@
 	return ListedMember{Node: node, PeerAddress: "peer-" + string(node), Service: "s", State: state}
 }
 
-// simulation drives a table through virtual time in steps of a second.
+// simulation advances a table through virtual time in steps of one second.
 type simulation struct {
 	*Table
 	now time.Time
@@ -45,9 +45,9 @@
 	}
 }
 
-func (s *simulation) hear(records ...Record) []Record { return s.MergeRecords(records, s.now) }
+func (s *simulation) receive(records ...Record) []Record { return s.MergeRecords(records, s.now) }
 
-func (s *simulation) read(list ...ListedMember) bool { return s.MergeList(list, s.now) }
+func (s *simulation) mergeList(list ...ListedMember) bool { return s.MergeList(list, s.now) }
 
 func (s *simulation) takesWork(node NodeID) bool {
 	for _, endpoint := range s.View().Endpoints("s") {
@@ -84,12 +84,12 @@
 		split := rapid.IntRange(0, len(records)).Draw(t, "split")
 
 		whole, parts := newSimulation("self"), newSimulation("self")
-		whole.hear(records...)
+		whole.receive(records...)
 		whole.View()
-		parts.hear(shuffled[:split]...)
+		parts.receive(shuffled[:split]...)
 		parts.View()
-		parts.hear(shuffled[split:]...)
-		parts.hear(shuffled...) // again: merging is idempotent
+		parts.receive(shuffled[split:]...)
+		parts.receive(shuffled...) // again: merging is idempotent
 
 		if whole.Digest() != parts.Digest() || whole.BucketDigests() != parts.BucketDigests() {
 			t.Fatal("digests differ")
@@ -104,18 +104,18 @@
 	})
 }
 
-func TestRecordNeverGoesBack(t *testing.T) {
+func TestRecordNeverRegresses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newSimulation("self")
 		highest := make(map[NodeID]Record)
 		for _, r := range rapid.SliceOf(rapid.Custom(drawRecord)).Draw(t, "records") {
-			table.hear(r)
+			table.receive(r)
 			held := table.entries[r.Node].record
 			if before, ok := highest[r.Node]; ok && before.Supersedes(held) {
-				t.Fatalf("%v went back to %v", before, held)
+				t.Fatalf("held record regressed from %v to %v", before, held)
 			}
 			if r.Supersedes(held) {
-				t.Fatalf("%v was not taken over %v", r, held)
+				t.Fatalf("newer record %v did not replace %v", r, held)
 			}
 			highest[r.Node] = held
 			table.wait(time.Duration(rapid.IntRange(0, 2).Draw(t, "seconds")) * time.Second)
@@ -123,13 +123,13 @@
 	})
 }
 
-// TestRepairSettles exchanges what differs between two tables with different
+// TestRepairConverges exchanges the differing buckets of two tables with different
 // histories, as neighbours do, and expects equal digests.
-func TestRepairSettles(t *testing.T) {
+func TestRepairConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		left, right := newSimulation("left"), newSimulation("right")
 		for _, table := range []*simulation{left, right} {
-			table.hear(rapid.SliceOf(rapid.Custom(drawRecord)).Draw(t, "records")...)
+			table.receive(rapid.SliceOf(rapid.Custom(drawRecord)).Draw(t, "records")...)
 			for _, e := range table.entries {
 				if rapid.Bool().Draw(t, "suspected") {
 					table.suspect(e.record)
@@ -142,15 +142,15 @@
 			repair(right, left)
 		}
 		if left.Digest() != right.Digest() {
-			t.Fatalf("differ after repair:\n%v\n%v", left.View().Members(), right.View().Members())
+			t.Fatalf("digests differ after repair:\n%v\n%v", left.View().Members(), right.View().Members())
 		}
 	})
 }
 
 func repair(from, to *simulation) {
-	theirs := to.BucketDigests()
-	buckets := from.DifferingBuckets(theirs[:])
-	to.hear(from.RecordsIn(buckets)...)
+	digests := to.BucketDigests()
+	buckets := from.DifferingBuckets(digests[:])
+	to.receive(from.RecordsIn(buckets)...)
 	to.Observe(from.ObservationsIn(buckets), to.now)
 }
 
@@ -161,50 +161,50 @@
 			before := table.Self()
 			table.suspect(before)
 			if !table.Self().Supersedes(before) {
-				t.Fatal("a suspicion of the own record was not refuted")
+				t.Fatal("a suspicion of the table's own record was not refuted")
 			}
 			after := table.Self()
 			table.suspect(before)
 			if table.Self() != after {
-				t.Fatal("a suspicion that was refuted counted again")
+				t.Fatal("an already refuted suspicion raised the sequence again")
 			}
 		}
 	})
 }
 
-func TestSuspicionNamesOneRecord(t *testing.T) {
+func TestSuspicionAppliesToOneRecord(t *testing.T) {
 	c := qt.New(t)
 	table := newSimulation("self")
 	a := record("a", 1, 1)
-	table.hear(a)
-	quiet := table.Digest()
+	table.receive(a)
+	unsuspected := table.Digest()
 
 	c.Assert(table.suspect(record("a", 1, 2)), qt.HasLen, 0)
 	c.Assert(table.suspect(a), qt.HasLen, 1)
 	c.Assert(table.suspect(a), qt.HasLen, 0)
 	c.Assert(table.View().Endpoints("s")[0].Suspected, qt.IsTrue)
 	c.Assert(table.View().ReadyInstances("s", "z"), qt.Equals, 1, qt.Commentf("only self"))
-	c.Assert(table.Digest(), qt.Not(qt.Equals), quiet)
+	c.Assert(table.Digest(), qt.Not(qt.Equals), unsuspected)
 
-	table.hear(record("a", 1, 2))
+	table.receive(record("a", 1, 2))
 	c.Assert(table.View().Endpoints("s")[0].Suspected, qt.IsFalse)
 	c.Assert(table.View().ReadyInstances("s", ""), qt.Equals, 2)
 }
 
-func TestAddressUsedAgain(t *testing.T) {
+func TestReusedAddress(t *testing.T) {
 	c := qt.New(t)
 	for _, order := range [][]int{{0, 1}, {1, 0}} {
 		table := newSimulation("self")
 		both := []Record{record("old", 1, 9), record("new", 2, 1)}
 		both[1].PeerAddress = both[0].PeerAddress
-		table.hear(both[order[0]])
+		table.receive(both[order[0]])
 		table.View()
-		table.hear(both[order[1]])
+		table.receive(both[order[1]])
 		c.Assert(table.knows("old"), qt.IsFalse)
 		c.Assert(table.takesWork("new"), qt.IsTrue)
 
 		moved := record("new", 3, 1)
-		table.hear(moved)
+		table.receive(moved)
 		c.Assert(table.knows("old"), qt.IsTrue, qt.Commentf("the address is free again"))
 	}
 }
@@ -212,10 +212,10 @@
 func TestRestartedNodeIsNotItsPredecessor(t *testing.T) {
 	c := qt.New(t)
 	table := newSimulation("self")
-	table.hear(record("a", 1, 50))
+	table.receive(record("a", 1, 50))
 	table.suspect(record("a", 1, 50))
-	c.Assert(table.hear(record("a", 2, 1)), qt.HasLen, 1)
-	c.Assert(table.hear(record("a", 1, 51)), qt.HasLen, 0)
+	c.Assert(table.receive(record("a", 2, 1)), qt.HasLen, 1)
+	c.Assert(table.receive(record("a", 1, 51)), qt.HasLen, 0)
 	c.Assert(table.suspect(record("a", 1, 50)), qt.HasLen, 0)
 	endpoint := table.View().Endpoints("s")[0]
 	c.Assert(endpoint.Incarnation, qt.Equals, Incarnation(2))
@@ -225,7 +225,7 @@
 func TestInvalidRecordsAreDropped(t *testing.T) {
 	c := qt.New(t)
 	long := string(make([]byte, maxTextBytes+1))
-	for name, spoil := range map[string]func(*Record){
+	for name, corrupt := range map[string]func(*Record){
 		"no name":           func(r *Record) { r.Node = "" },
 		"no address":        func(r *Record) { r.PeerAddress = "" },
 		"unknown state":     func(r *Record) { r.State = 9 },
@@ -236,8 +236,8 @@
 		c.Run(name, func(c *qt.C) {
 			table := newSimulation("self")
 			bad := record("a", 1, 1)
-			spoil(&bad)
-			c.Assert(table.hear(bad), qt.HasLen, 0)
+			corrupt(&bad)
+			c.Assert(table.receive(bad), qt.HasLen, 0)
 			c.Assert(table.Len(), qt.Equals, 1)
 		})
 	}
@@ -246,13 +246,13 @@
 func TestViewChangesOnlyWithItsContent(t *testing.T) {
 	c := qt.New(t)
 	table := newSimulation("self")
-	table.hear(record("a", 1, 1), record("b", 1, 1))
+	table.receive(record("a", 1, 1), record("b", 1, 1))
 	first := table.View()
-	table.hear(record("a", 1, 1))
+	table.receive(record("a", 1, 1))
 	table.wait(5 * time.Second)
 	c.Assert(table.View(), qt.Equals, first)
 
-	table.hear(record("a", 1, 2))
+	table.receive(record("a", 1, 2))
 	second := table.View()
 	c.Assert(second, qt.Not(qt.Equals), first)
 	c.Assert(second.SameEndpoints(first), qt.IsTrue)
@@ -260,7 +260,7 @@
 
 	draining := record("a", 1, 3)
 	draining.State = StateDraining
-	table.hear(draining)
+	table.receive(draining)
 	member, _ := table.View().Member("a")
 	c.Assert(member.Leaving, qt.IsTrue)
 	c.Assert(table.View().SameEndpoints(first), qt.IsFalse)
@@ -268,7 +268,7 @@
 	c.Assert(table.takesWork("b"), qt.IsTrue)
 }
 
-// benchmarkMembers is the size of the fleet the design is for.
+// benchmarkMembers is the fleet size that the package is designed for.
 const benchmarkMembers = 710
 
 func BenchmarkViewAfterOneChange(b *testing.B) {
@@ -276,13 +276,13 @@
 	for i := range benchmarkMembers {
 		r := record(NodeID(fmt.Sprintf("n%03d", i)), 1, 1)
 		r.Service = fmt.Sprintf("s%d", i%30)
-		table.hear(r)
+		table.receive(r)
 	}
 	b.ReportAllocs()
 	for i := range b.N {
 		r := record("n500", 1, uint64(i+2))
 		r.State = State(1 + i%2)
-		table.hear(r)
+		table.receive(r)
 		table.View()
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -16,20 +16,20 @@
 	DataAddress string
 	Slots       int
 	// Suspected is set while an unrefuted observation says that the node cannot
-	// be reached. It is a hint: the caller's own requests decide.
+	// be reached. It is only a hint: the outcome of the caller's own requests decides.
 	Suspected bool
 }
 
-// Member is one instance as merged from all reports.
+// Member is the merged state of one instance.
 type Member struct {
 	// Record is what the owner published. Incarnation 0 marks a member that only
 	// the platform's list names: its address can be dialled, nothing else is known.
 	Record Record
-	// Listed tells whether the platform's list names the node at its address now.
+	// Listed is set while the platform's list names the node at its address.
 	Listed bool
 	// Leaving is set while the list or the owner says that the node is leaving.
 	Leaving bool
-	// Suspected is set while an observation stands unrefuted.
+	// Suspected is set while an observation about the node is unrefuted.
 	Suspected bool
 	// ListedAddress is the peer address in the platform's list where it differs
 	// from the record's, as a second address to dial; otherwise empty.
@@ -54,8 +54,8 @@
 	}
 }
 
-// View is an immutable picture of the fleet. It is safe for concurrent use. Views
-// that follow each other share what did not change.
+// View is an immutable snapshot of the fleet. It is safe for concurrent use.
+// Consecutive views share what did not change.
 type View struct {
 	members  []*Member // sorted by NodeID
 	services map[string]*serviceView
@@ -64,16 +64,16 @@
 	flat     []Member
 }
 
-// serviceView is the part of a View about one service; views share it while
-// nothing in it changes.
+// serviceView is the part of a View about one service. Views share it while it
+// does not change.
 type serviceView struct {
 	endpoints []Endpoint
 	ready     int
 	zones     map[string]int
 }
 
-// NewView builds a view of the given members, in any order, each node at most
-// once.
+// NewView returns a view of the given members, which may be in any order but must
+// not repeat a node.
 func NewView(members []Member) *View {
 	sorted := make([]*Member, len(members))
 	for i := range members {
@@ -84,12 +84,12 @@
 	return (&View{}).next(sorted, nil)
 }
 
-// All yields all known instances that have not ended, the own one included, in
-// the order of NodeID. The caller must not change them.
+// All yields all known instances that have not ended, this node's included, sorted
+// by NodeID. The caller must not change them.
 func (v *View) All() iter.Seq[*Member] { return slices.Values(v.members) }
 
 // Members returns what All yields as a slice, which the caller must not change.
-// It is made at the first call, at the cost of a copy of all members.
+// The first call copies all members.
 func (v *View) Members() []Member {
 	v.flatOnce.Do(func() {
 		v.flat = make([]Member, len(v.members))
@@ -100,7 +100,7 @@
 	return v.flat
 }
 
-// Len returns how many instances All yields.
+// Len returns the number of instances that All yields.
 func (v *View) Len() int { return len(v.members) }
 
 // Member returns the member of that name, if it is known and has not ended.
@@ -142,9 +142,9 @@
 	}
 }
 
-// SameEndpoints reports whether both views give the same endpoints for every
-// service, so that nothing that depends on endpoints alone needs another look.
-// It may report false for views that were not built one from the other.
+// SameEndpoints reports whether both views have the same endpoints for every
+// service, so that nothing derived from endpoints alone has to be updated. It may
+// report false for views of which neither was built from the other.
 func (v *View) SameEndpoints(other *View) bool {
 	return maps.EqualFunc(v.services, other.services, func(a, b *serviceView) bool {
 		return a == b || slices.Equal(a.endpoints, b.endpoints)
