--- a/internal/source/client.go
+++ b/internal/source/client.go
@@ -17,7 +17,7 @@
 	"github.com/winchhead/winchhead/internal/socketbytes"
 )
 
-// NodeHeader names the reading node to the platform, which counts its readers.
+// NodeHeader carries the name of the reading node, so that the platform can count its readers.
 const NodeHeader = "Winchhead-Node"
 
 // Paths of the published protocol.
@@ -41,18 +41,18 @@
 	maxResponseHeaderBytes = 16 << 10
 )
 
-// Options sets up a Client.
+// Options configures a Client.
 type Options struct {
 	// BaseURL is the platform's address, such as "http://10.0.0.1:8080".
 	BaseURL string
-	// MaxBodyBytes bounds the body of one answer; zero takes DefaultMaxBodyBytes.
+	// MaxBodyBytes limits the body of one answer; zero means DefaultMaxBodyBytes.
 	MaxBodyBytes int64
-	// Timeout bounds the wait for a header, beyond the time of a long poll, and how long the
-	// body may stop coming; zero takes DefaultTimeout.
+	// Timeout limits the wait for the header, in addition to the time of a long poll, and how
+	// long the body may stall; zero means DefaultTimeout.
 	Timeout time.Duration
-	// Node is sent in NodeHeader; empty sends none.
+	// Node is sent in NodeHeader, if not empty.
 	Node membership.NodeID
-	// Dial replaces the dialer, for tests and simulated nodes; nil takes TCP.
+	// Dial replaces the dialer, for tests and simulated nodes; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -69,8 +69,8 @@
 	_ MemberReader        = (*Client)(nil)
 )
 
-// NewClient returns a client. A BaseURL that cannot be parsed shows as
-// StatusInvalid on each read.
+// NewClient returns a client. With a BaseURL that cannot be parsed, every read
+// returns StatusInvalid.
 func NewClient(options Options) *Client {
 	options.BaseURL = strings.TrimRight(options.BaseURL, "/")
 	if options.MaxBodyBytes <= 0 {
@@ -91,14 +91,14 @@
 	return &Client{options: options, http: client, transport: transport}
 }
 
-// newTransport returns a transport that takes no proxy from the environment,
-// speaks HTTP/1.1 only and counts the bytes of its connections.
+// newTransport returns a transport that ignores proxy settings of the environment,
+// uses HTTP/1.1 only and counts the bytes of its connections.
 func newTransport(options Options) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			connection, err := options.Dial(ctx, network, address)
 			if err != nil {
-				return nil, &errConnect{reason: err}
+				return nil, &connectError{reason: err}
 			}
 			return socketbytes.Wrap(connection, &socketbytes.Counter{}), nil
 		},
@@ -110,11 +110,11 @@
 	}
 }
 
-// Close closes the idle connections. Reads in progress end by their context.
+// Close closes the idle connections. Reads in progress end with their context.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// AwaitRevision implements ConfigurationReader. It reports the platform's
-// version as it is, also when that is below after (StatusNotModified).
+// AwaitRevision implements ConfigurationReader. It returns the platform's version
+// even if that is below after (StatusNotModified).
 func (c *Client) AwaitRevision(ctx context.Context, after snapshot.Revision, wait time.Duration) (snapshot.Version, Outcome) {
 	query := url.Values{"after": {strconv.FormatUint(uint64(after), 10)}, "wait": {wait.String()}}
 	got := c.get(ctx, request{path: HeadPath, query: query, wait: wait})
@@ -131,8 +131,8 @@
 	return version, got.outcome
 }
 
-// Fetch implements ConfigurationReader. A document of an older revision than
-// held is StatusFresh too: the store decides what is adopted.
+// Fetch implements ConfigurationReader. A document older than held is StatusFresh
+// too: the snapshot store decides which document is used.
 func (c *Client) Fetch(ctx context.Context, held snapshot.Version) (*snapshot.Document, Outcome) {
 	var etag string
 	if !held.IsZero() {
@@ -171,7 +171,7 @@
 	return list, got.outcome
 }
 
-// ETag returns the entity tag of the document of that version.
+// ETag returns the entity tag of the document with the given version.
 func ETag(version snapshot.Version) string {
 	return fmt.Sprintf("%q", fmt.Sprintf("%d-%s", version.Revision, version.Hash))
 }
--- a/internal/source/contract_test.go
+++ b/internal/source/contract_test.go
@@ -15,13 +15,13 @@
 	"github.com/winchhead/winchhead/internal/source"
 )
 
-// longWait is far above what any read of these tests needs.
+// longWait is much longer than any read of these tests takes.
 const longWait = 50 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// emulated serves an emulated platform and returns it with its URL.
-func emulated(c *qt.C, options platform.Options) (*platform.Platform, string) {
+// startEmulator serves an emulated platform and returns it with its URL.
+func startEmulator(c *qt.C, options platform.Options) (*platform.Platform, string) {
 	emulator, err := platform.New(options)
 	c.Assert(err, qt.IsNil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,12 +40,12 @@
 	c := qt.New(t)
 	ctx := context.Background()
 	member := membership.ListedMember{Node: "n1", PeerAddress: "127.0.0.1:7000", Zone: "centro", State: membership.ListedLive}
-	emulator, url := emulated(c, platform.Options{
+	emulator, url := startEmulator(c, platform.Options{
 		Content: snapshot.Content{Secrets: []snapshot.Secret{{Name: "token", Value: "hush"}}},
 		Members: []membership.ListedMember{member},
 	})
 
-	reader := client(c, url, longTimeout)
+	reader := newClient(c, url, longTimeout)
 	first, outcome := reader.Fetch(ctx, snapshot.Version{})
 	c.Assert(outcome.Err, qt.IsNil)
 	c.Assert(outcome.Status, qt.Equals, source.StatusFresh)
--- a/internal/source/decode.go
+++ b/internal/source/decode.go
@@ -13,26 +13,26 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// memberList is the body of the platform's membership answer.
-type memberList struct {
+// memberListBody is the body of the platform's membership answer.
+type memberListBody struct {
 	Revision uint64                    `json:"revision"`
 	Members  []membership.ListedMember `json:"members"`
 }
 
-// decodeHead reads the body of the head: the platform's current version.
+// decodeHead decodes the body of the head: the platform's current version.
 func decodeHead(body []byte) (snapshot.Version, error) {
 	var version snapshot.Version
 	if err := decodeStrict(body, &version); err != nil {
 		return snapshot.Version{}, err
 	}
 	if version.Revision == 0 || version.Hash == (snapshot.ContentHash{}) {
-		return snapshot.Version{}, eris.New("the head names no version")
+		return snapshot.Version{}, eris.New("the head has no revision or no hash")
 	}
 	return version, nil
 }
 
-// decodeDocument reads the body of the configuration and checks that it has the
-// version that the entity tag tells.
+// decodeDocument decodes the body of the configuration and checks that its version
+// matches the entity tag.
 func decodeDocument(body []byte, etag string) (*snapshot.Document, error) {
 	document, err := decodeContent(body)
 	if err != nil {
@@ -54,14 +54,14 @@
 	}
 	document, err := snapshot.NewDocument(content)
 	if err != nil {
-		return nil, eris.Wrap(err, "the document is not valid")
+		return nil, eris.Wrap(err, "invalid document")
 	}
 	return document, nil
 }
 
-// decodeMembers reads the body of the membership list.
+// decodeMembers decodes the body of the membership list.
 func decodeMembers(body []byte) (MemberList, error) {
-	var list memberList
+	var list memberListBody
 	if err := decodeStrict(body, &list); err != nil {
 		return MemberList{}, err
 	}
@@ -80,7 +80,7 @@
 
 func checkMember(member membership.ListedMember) error {
 	if member.Node == "" {
-		return eris.New("it has no node name")
+		return eris.New("the entry has no node name")
 	}
 	if member.State != membership.ListedLive && member.State != membership.ListedLeaving {
 		return eris.Errorf("node %q has an unknown state", member.Node)
@@ -91,13 +91,14 @@
 	return nil
 }
 
-// decodeStrict reads exactly one JSON value without unknown fields. Its errors
-// tell where the fault is but quote nothing of the body, which holds secrets.
+// decodeStrict decodes exactly one JSON value without unknown fields. Its errors
+// give the position of the fault but quote nothing of the body, which may hold
+// secrets.
 func decodeStrict(body []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return withoutValues(err, len(body))
+		return redactValues(err, len(body))
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return eris.Errorf("data follows the JSON value at byte %d", decoder.InputOffset())
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// withoutValues replaces an error of encoding/json, whose text quotes the body.
-func withoutValues(err error, length int) error {
+// redactValues replaces an error of encoding/json, whose text may quote the body.
+func redactValues(err error, length int) error {
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
 	switch {
@@ -117,6 +118,6 @@
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return eris.Errorf("the JSON ends early at byte %d", length)
 	default:
-		return eris.New("there is an unknown field or a malformed value")
+		return eris.New("the JSON has an unknown field or a malformed value")
 	}
 }
--- a/internal/source/decode_test.go
+++ b/internal/source/decode_test.go
@@ -9,8 +9,8 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// FuzzDecode checks that no body makes a decoder fail otherwise than by an
-// error, and that what is accepted means the same when it is encoded again.
+// FuzzDecode checks that no body makes a decoder fail other than with an error,
+// and that an accepted document keeps its version when it is encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		`{"revision":7,"services":[{"name":"reservas","slots":20}],"policies":[{"name":"trips","program":"x"}],"secrets":[{"name":"k","value":"v"}]}`,
--- a/internal/source/exchange.go
+++ b/internal/source/exchange.go
@@ -12,10 +12,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxRetryAfter bounds what the platform may ask a reader to wait.
+// MaxRetryAfter limits how long the platform may ask a reader to wait.
 const MaxRetryAfter = time.Minute
 
-// jsonMediaType is the only type of body that the protocol knows.
+// jsonMediaType is the only media type of the protocol.
 const jsonMediaType = "application/json"
 
 // request is one read of the platform.
@@ -26,7 +26,7 @@
 	wait  time.Duration // how long the platform may hold the answer
 }
 
-// answer is what one read gave; body and etag are set on StatusFresh only.
+// answer is the result of one read; body and etag are set on StatusFresh only.
 type answer struct {
 	path    string
 	outcome Outcome
@@ -34,14 +34,14 @@
 	body    []byte
 }
 
-// invalid returns the outcome of an answer whose body breaks the protocol.
+// invalid returns the outcome of an answer whose body violates the protocol.
 func (a answer) invalid(err error) Outcome {
 	a.outcome.Status = StatusInvalid
 	a.outcome.Err = eris.Wrapf(err, "read %s", a.path)
 	return a.outcome
 }
 
-// get runs one exchange and counts its bytes.
+// get performs one exchange and counts its bytes.
 func (c *Client) get(ctx context.Context, read request) answer {
 	var traffic exchangeTraffic
 	got := c.exchange(traffic.trace(ctx), read)
@@ -53,7 +53,7 @@
 	return got
 }
 
-// exchange sends the request and reads the answer, as long as something of it comes.
+// exchange sends the request and reads the answer. It ends early if the answer stalls.
 func (c *Client) exchange(parent context.Context, read request) answer {
 	ctx, end := WithPatience(parent, read.wait+c.options.Timeout, c.options.Timeout)
 	defer end()
@@ -67,7 +67,7 @@
 	}
 	defer response.Body.Close()
 	Progress(ctx, 0)
-	return c.judge(ctx, read, response)
+	return c.evaluate(ctx, read, response)
 }
 
 func (c *Client) newRequest(ctx context.Context, read request) (*http.Request, error) {
@@ -89,9 +89,9 @@
 	return outgoing, nil
 }
 
-// judge turns the status and header of a response into an outcome and reads the
-// body of a good one.
-func (c *Client) judge(ctx context.Context, read request, response *http.Response) answer {
+// evaluate derives the outcome from the status and header of a response, and reads
+// the body of a successful one.
+func (c *Client) evaluate(ctx context.Context, read request, response *http.Response) answer {
 	switch status := response.StatusCode; {
 	case status == http.StatusOK:
 		return c.readBody(ctx, response)
@@ -102,7 +102,7 @@
 		busy.outcome.RetryAfter = retryAfter(response.Header, time.Now())
 		return busy
 	case status >= http.StatusInternalServerError:
-		return failure(StatusUnreachable, eris.Errorf("the platform failed with HTTP status %d", status))
+		return failure(StatusUnreachable, eris.Errorf("the platform returned HTTP status %d", status))
 	default:
 		return failure(StatusInvalid, eris.Errorf("unexpected HTTP status %d", status))
 	}
@@ -114,11 +114,11 @@
 	}
 	limit := c.options.MaxBodyBytes
 	if response.ContentLength > limit {
-		return failure(StatusInvalid, tooLarge(limit))
+		return failure(StatusInvalid, bodyTooLarge(limit))
 	}
 	body, err := io.ReadAll(io.LimitReader(ReadWithProgress(ctx, response.Body), limit+1))
 	if int64(len(body)) > limit {
-		return failure(StatusInvalid, tooLarge(limit))
+		return failure(StatusInvalid, bodyTooLarge(limit))
 	}
 	if err != nil {
 		return transportFailure(ctx, err)
@@ -126,7 +126,7 @@
 	return answer{outcome: Outcome{Status: StatusFresh}, etag: response.Header.Get("ETag"), body: body}
 }
 
-func tooLarge(limit int64) error {
+func bodyTooLarge(limit int64) error {
 	return eris.Errorf("the body is larger than %d bytes", limit)
 }
 
@@ -136,14 +136,14 @@
 		return eris.Errorf("the content type is not %s", jsonMediaType)
 	}
 	if encoding := header.Get("Content-Encoding"); encoding != "" && encoding != "identity" {
-		return eris.New("the body has a content encoding that was not asked for")
+		return eris.New("the body has a content encoding that was not requested")
 	}
 	return nil
 }
 
-// retryAfter reads the header in seconds or as an HTTP date. A date is taken
-// relative to the platform's own Date, so that the clocks need not agree. It
-// returns zero when the header is absent, past or cannot be read.
+// retryAfter parses the Retry-After header, in seconds or as an HTTP date. A date
+// is relative to the platform's own Date header, so that the clocks need not agree.
+// The result is zero if the header is absent, malformed or in the past.
 func retryAfter(header http.Header, now time.Time) time.Duration {
 	value := header.Get("Retry-After")
 	if seconds, err := strconv.ParseUint(value, 10, 32); err == nil {
--- a/internal/source/failure.go
+++ b/internal/source/failure.go
@@ -10,18 +10,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// errConnect wraps the reason why no connection was made.
-type errConnect struct{ reason error }
+// connectError wraps the reason why a connection could not be established.
+type connectError struct{ reason error }
 
-// Error tells the reason.
-func (e *errConnect) Error() string { return "connect: " + e.reason.Error() }
+// Error implements error.
+func (e *connectError) Error() string { return "connect: " + e.reason.Error() }
 
 // Unwrap returns the reason.
-func (e *errConnect) Unwrap() error { return e.reason }
+func (e *connectError) Unwrap() error { return e.reason }
 
-// transportFailure tells a connection that failed from an answer that is not
-// valid HTTP. Of the errors of net/http it keeps those of the network only:
-// others quote what was received, which may hold a secret.
+// transportFailure distinguishes a failed connection from an answer that is not
+// valid HTTP. It passes on only the network errors of net/http: others quote what
+// was received, which may hold a secret.
 func transportFailure(ctx context.Context, err error) answer {
 	if reason := context.Cause(ctx); reason != nil {
 		return failure(StatusUnreachable, reason)
@@ -34,7 +34,7 @@
 
 // networkFailure returns the part of err that concerns the connection, or nil.
 func networkFailure(err error) error {
-	var connect *errConnect
+	var connect *connectError
 	var operation *net.OpError
 	var certificate *tls.CertificateVerificationError
 	switch {
--- a/internal/source/gather.go
+++ b/internal/source/gather.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// gatherKey finds the gather time of a context.
-type gatherKey struct{}
+// gatherTimeKey is the context key of the gather time.
+type gatherTimeKey struct{}
 
-// WithGatherTime returns a context for reads that names the least time between two reads of
-// news: what comes meanwhile is gathered.
-func WithGatherTime(parent context.Context, least time.Duration) context.Context {
-	return context.WithValue(parent, gatherKey{}, least)
+// WithGatherTime returns a context with the minimum interval between two reads of changes.
+// Changes that occur within the interval are read together.
+func WithGatherTime(parent context.Context, interval time.Duration) context.Context {
+	return context.WithValue(parent, gatherTimeKey{}, interval)
 }
 
-// GatherTime returns the least time between two reads of news; zero: none is named.
+// GatherTime returns the minimum interval between two reads of changes, or zero if none is set.
 func GatherTime(ctx context.Context) time.Duration {
-	least, _ := ctx.Value(gatherKey{}).(time.Duration)
-	return least
+	interval, _ := ctx.Value(gatherTimeKey{}).(time.Duration)
+	return interval
 }
--- a/internal/source/patience_test.go
+++ b/internal/source/stall_test.go
@@ -11,9 +11,9 @@
 	"github.com/winchhead/winchhead/internal/source"
 )
 
-// TestPatience: a read goes on as long as enough of its answer comes, however long it takes,
-// and ends soon after that stops.
-func TestPatience(t *testing.T) {
+// TestStallTimeout checks that a read goes on as long as enough of its answer arrives, however
+// long it takes in total, and ends one stall timeout after that stops.
+func TestStallTimeout(t *testing.T) {
 	const (
 		first = 3 * time.Second
 		stall = time.Second
@@ -21,15 +21,15 @@
 	)
 	rows := map[string]struct {
 		header time.Duration // when the header comes; zero: never
-		bytes  int           // that come each step after it
+		bytes  int           // that arrive in each step after the header
 		steps  int
 		lasts  time.Duration
 		reason string
 	}{
-		"nothing comes":                  {lasts: first, reason: "no answer in time"},
-		"the header comes, nothing more": {header: 2 * time.Second, lasts: 2*time.Second + stall, reason: "the answer did not go on in time"},
-		"a large answer":                 {header: time.Second, bytes: 100_000, steps: 100, lasts: time.Second + 100*step + stall, reason: "the answer did not go on in time"},
-		"a trickle":                      {header: time.Second, bytes: 100, steps: 100, lasts: time.Second + stall, reason: "the answer did not go on in time"},
+		"nothing arrives":         {lasts: first, reason: "no answer before the timeout"},
+		"only the header arrives": {header: 2 * time.Second, lasts: 2*time.Second + stall, reason: "the answer stalled: too little data before the timeout"},
+		"a large answer":          {header: time.Second, bytes: 100_000, steps: 100, lasts: time.Second + 100*step + stall, reason: "the answer stalled: too little data before the timeout"},
+		"a trickle":               {header: time.Second, bytes: 100, steps: 100, lasts: time.Second + stall, reason: "the answer stalled: too little data before the timeout"},
 	}
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
@@ -55,15 +55,15 @@
 				c.Check(time.Since(began), qt.Equals, row.lasts)
 				c.Check(context.Cause(ctx), qt.ErrorMatches, row.reason)
 				c.Check(outer.Err(), qt.IsNil)
-				time.Sleep(time.Hour) // lets the steps end
+				time.Sleep(time.Hour) // lets the sending goroutine end
 			})
 		})
 	}
 }
 
-// TestPatienceOfOneWhoWaits: a read that waits for another one of its process does not lose
-// its patience meanwhile, and has all of it afterwards.
-func TestPatienceOfOneWhoWaits(t *testing.T) {
+// TestPauseStopsTheTimeout checks that a read that waits for another read of its process does
+// not time out meanwhile, and has its full timeout afterwards.
+func TestPauseStopsTheTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, end := source.WithPatience(context.Background(), time.Second, time.Second)
--- a/internal/source/large_test.go
+++ b/internal/source/threshold_test.go
@@ -10,7 +10,8 @@
 	"github.com/winchhead/winchhead/internal/source"
 )
 
-// TestWhileLarge: it is told again and again, by all reads taken together, and not for small ones.
+// TestWhileLarge checks that the callback runs each time that the reads have together received
+// the given number of bytes, and not for small reads.
 func TestWhileLarge(t *testing.T) {
 	const large = 100
 	for name, row := range map[string]struct {
@@ -19,19 +20,19 @@
 	}{
 		"small":           {[]int{0, 50, 49}, 0},
 		"just large":      {[]int{100}, 1},
-		"in several":      {[]int{60, 0, 60}, 1},
-		"all at once":     {[]int{1000}, 1},
-		"large for long":  {[]int{100, 50, 50, 10, 90}, 3},
-		"nothing at all":  {nil, 0},
+		"several reads":   {[]int{60, 0, 60}, 1},
+		"one large read":  {[]int{1000}, 1},
+		"repeatedly":      {[]int{100, 50, 50, 10, 90}, 3},
+		"no reads":        {nil, 0},
 		"only its header": {[]int{0}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := 0
 			ctx := source.WhileLarge(context.Background(), large, func() { calls++ })
-			patient, end := source.WithPatience(ctx, time.Minute, time.Minute)
+			timed, end := source.WithPatience(ctx, time.Minute, time.Minute)
 			defer end()
 			for _, bytes := range row.reads {
-				source.Progress(patient, bytes)
+				source.Progress(timed, bytes)
 			}
 			qt.Check(t, calls, qt.Equals, row.calls)
 		})
--- a/internal/source/traffic.go
+++ b/internal/source/traffic.go
@@ -9,9 +9,9 @@
 	"github.com/winchhead/winchhead/internal/socketbytes"
 )
 
-// exchangeTraffic collects the connections that one exchange used. A connection
-// carries one exchange at a time, so what it counted since the last exchange
-// belongs to this one.
+// exchangeTraffic collects the byte counters of the connections that one exchange
+// used. A connection carries one exchange at a time, so whatever it counted since
+// the last exchange belongs to this one.
 type exchangeTraffic struct {
 	mutex    sync.Mutex
 	counters []*socketbytes.Counter
@@ -40,8 +40,8 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, counter := range t.counters {
-		taken, sent := counter.Take()
-		read += taken
+		received, sent := counter.Take()
+		read += received
 		written += sent
 	}
 	return read, written
