--- a/internal/source/bad_answers_test.go
+++ b/internal/source/bad_answers_test.go
@@ -142,11 +142,11 @@
 	held := newDocument(c, 7, "held")
 	next := newDocument(c, 8, "next")
 	body, etag := encode(c, next.Content()), source.ETag(next.Version())
-	double := next.Content()
-	double.Policies = append(double.Policies, double.Policies...)
-	back, other := newDocument(c, 3, "older"), newDocument(c, 7, "other")
+	duplicated := next.Content()
+	duplicated.Policies = append(duplicated.Policies, duplicated.Policies...)
+	older, other := newDocument(c, 3, "older"), newDocument(c, 7, "other")
 	unresolved := newDocument(c, 8, `route(secrets = {"X-Key": "absent"})`)
-	stillOpen := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+	headerStart := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 	tooLarge := body + strings.Repeat(" ", bodyLimit)
 
 	for _, test := range []struct {
@@ -155,11 +155,11 @@
 		status source.Status
 		err    string
 	}{
-		{"truncated body", rawAnswer(stillOpen + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body[:len(body)-9])), source.StatusUnreachable, ".*closed before the end.*"},
-		{"truncated chunks", rawAnswer(stillOpen + "Transfer-Encoding: chunked\r\n\r\n4\r\n{\"re\r\n"), source.StatusUnreachable, ".*closed before the end.*"},
-		{"truncated, length unknown", rawAnswer(stillOpen + "ETag: " + etag + "\r\n\r\n" + body[:len(body)-9]), source.StatusInvalid, ".*ends early at byte [0-9]+"},
-		{"oversized, announced, not sent", inSequence(rawAnswer(stillOpen+"Content-Length: 4097\r\n\r\n"), hang), source.StatusInvalid, ".*larger than 4096 bytes"},
-		{"oversized, length unknown", rawAnswer(stillOpen + "\r\n" + tooLarge), source.StatusInvalid, ".*larger than 4096 bytes"},
+		{"truncated body", rawAnswer(headerStart + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body[:len(body)-9])), source.StatusUnreachable, ".*closed before the end.*"},
+		{"truncated chunks", rawAnswer(headerStart + "Transfer-Encoding: chunked\r\n\r\n4\r\n{\"re\r\n"), source.StatusUnreachable, ".*closed before the end.*"},
+		{"truncated, length unknown", rawAnswer(headerStart + "ETag: " + etag + "\r\n\r\n" + body[:len(body)-9]), source.StatusInvalid, ".*ends early at byte [0-9]+"},
+		{"oversized, announced, not sent", inSequence(rawAnswer(headerStart+"Content-Length: 4097\r\n\r\n"), hang), source.StatusInvalid, ".*larger than 4096 bytes"},
+		{"oversized, length unknown", rawAnswer(headerStart + "\r\n" + tooLarge), source.StatusInvalid, ".*larger than 4096 bytes"},
 		{"not JSON", okAnswer("<html>"+secretValue, etag), source.StatusInvalid, ".*not JSON at byte 1"},
 		{"empty body", okAnswer("", etag), source.StatusInvalid, ".*ends early at byte 0"},
 		{"null", okAnswer("null", etag), source.StatusInvalid, ".*has no revision"},
@@ -171,11 +171,11 @@
 		{"encoding not asked for", httpAnswer(http.StatusOK, body, "Content-Type: application/json", "Content-Encoding: gzip"), source.StatusInvalid, ".*content encoding.*"},
 		{"not HTTP", rawAnswer(secretValue + "\r\n\r\n"), source.StatusInvalid, ".*not valid HTTP"},
 		{"broken header", rawAnswer("HTTP/1.1 200 OK\r\n" + secretValue + "\r\n\r\n"), source.StatusInvalid, ".*not valid HTTP"},
-		{"broken chunk", rawAnswer(stillOpen + "Transfer-Encoding: chunked\r\n\r\nzz" + secretValue + "\r\n"), source.StatusInvalid, ".*not valid HTTP"},
+		{"broken chunk", rawAnswer(headerStart + "Transfer-Encoding: chunked\r\n\r\nzz" + secretValue + "\r\n"), source.StatusInvalid, ".*not valid HTTP"},
 		{"endless header", rawAnswer("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 64<<10) + "\r\n\r\n"), source.StatusInvalid, ".*not valid HTTP"},
 		{"revision 0", okAnswer(strings.Replace(body, `"revision":8`, `"revision":0`, 1), etag), source.StatusInvalid, ".*has no revision"},
 		{"negative revision", okAnswer(strings.Replace(body, `"revision":8`, `"revision":-8`, 1), etag), source.StatusInvalid, `.*"revision" has the wrong type.*`},
-		{"duplicate names", okAnswer(encode(c, double), etag), source.StatusInvalid, ".*policy trips is there twice"},
+		{"duplicate names", okAnswer(encode(c, duplicated), etag), source.StatusInvalid, ".*policy trips is there twice"},
 		{"ETag of another document", okAnswer(body, source.ETag(other.Version())), source.StatusInvalid, ".*ETag does not match.*"},
 		{"weak ETag", okAnswer(body, "W/"+etag), source.StatusInvalid, ".*ETag does not match.*"},
 		{"no ETag", httpAnswer(http.StatusOK, body, "Content-Type: application/json"), source.StatusInvalid, ".*ETag does not match.*"},
@@ -185,11 +185,11 @@
 		{"server error", httpAnswer(http.StatusInternalServerError, secretValue), source.StatusUnreachable, ".*HTTP status 500"},
 		{"closed without an answer", rawAnswer(""), source.StatusUnreachable, ".*closed before the end.*"},
 		{"reset", resetConnection, source.StatusUnreachable, ".*connection reset.*"},
-		{"never answering", hang, source.StatusUnreachable, ".*no answer before the timeout"},
+		{"no answer", hang, source.StatusUnreachable, ".*no answer before the timeout"},
 		{"slow trickle", trickle, source.StatusUnreachable, ".*(stalled: too little data|no answer) before the timeout"},
 
 		// The client returns these as they are; the named package rejects them.
-		{"older revision (rejected by the snapshot store)", okAnswer(encode(c, back.Content()), source.ETag(back.Version())), source.StatusFresh, ""},
+		{"older revision (rejected by the snapshot store)", okAnswer(encode(c, older.Content()), source.ETag(older.Version())), source.StatusFresh, ""},
 		{"same revision, other content (rejected by the snapshot store)", okAnswer(encode(c, other.Content()), source.ETag(other.Version())), source.StatusFresh, ""},
 		{"missing secret (rejected by the compilation)", okAnswer(encode(c, unresolved.Content()), source.ETag(unresolved.Version())), source.StatusFresh, ""},
 	} {
--- a/internal/source/stall_test.go
+++ b/internal/source/stall_test.go
@@ -20,7 +20,7 @@
 		step  = 500 * time.Millisecond
 	)
 	rows := map[string]struct {
-		header time.Duration // when the header comes; zero: never
+		header time.Duration // when the header arrives; zero: never
 		bytes  int           // that arrive in each step after the header
 		steps  int
 		lasts  time.Duration
--- a/internal/suspects/benchmark_test.go
+++ b/internal/suspects/benchmark_test.go
@@ -6,7 +6,8 @@
 )
 
 // BenchmarkAssess gives the cost per request while nothing is suspected (2 ns, an atomic load)
-// and while something is (1.0 us without a body, 50 us with a body of 64 KB, mostly hashing).
+// and while something is (1.0 us without a body, 50 us with a body of 64 KB, mostly hashing). The
+// figures are from a machine that was also busy with other work.
 func BenchmarkAssess(b *testing.B) {
 	for _, bytes := range []int{0, 64 << 10} {
 		for _, suspected := range []bool{false, true} {
