--- a/internal/configuration/changes.go
+++ b/internal/configuration/changes.go
@@ -4,34 +4,34 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// ChangeFleet takes over changes of instances and evacuations that are newer than the document
-// in force, and puts them in force at once. A document that brings them too may be a second
-// behind, as it waits for a large configuration on its way; requests would go on to instances
-// that leave.
+// ChangeFleet applies changes to instances and evacuations that are newer than the document in
+// force, without waiting for the document that contains them. That document may arrive a second
+// later while a large configuration is being transferred, and until then requests would still be
+// sent to instances that leave.
 func (a *Applier) ChangeFleet(changes []snapshot.Change) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, change := range changes {
 		a.enterEpoch(change.Revision)
 	}
-	retained := a.retainFormer(changes)
-	news := a.changes.Add(changes, a.store.HighWater().Revision)
-	if a.plan == nil || len(news) == 0 && !retained {
+	retained := a.retainEarlierEpochs(changes)
+	added := a.changes.Add(changes, a.store.HighWater().Revision)
+	if a.plan == nil || len(added) == 0 && !retained {
 		return
 	}
-	a.restoration.retained.Settle(a.plan.Document().Content(), &a.changes)
+	a.restore.retained.Settle(a.plan.Document().Content(), &a.changes)
 	a.applyFleet()
 }
 
-// applyFleet puts in force what is known of instances and evacuations beside the document in
-// force. The mutex is held.
+// applyFleet swaps in a snapshot of the current document with the pending changes and retained
+// statements applied to it. The caller must hold the mutex.
 func (a *Applier) applyFleet() {
-	former := a.store.Current()
-	next := former.WithChanges(a.plan.Document(), &a.changes, &a.restoration.retained)
-	if !a.store.AdoptFleet(next.Following(former)) {
-		return // the next document brings them
+	previous := a.store.Current()
+	next := previous.WithChanges(a.plan.Document(), &a.changes, &a.restore.retained)
+	if !a.store.AdoptFleet(next.Following(previous)) {
+		return // the next document contains these changes
 	}
 	current := a.store.Current()
-	a.announceFleet(former, current, wayChange)
-	a.watchers.notify(Change{InForce: current.Version(), Generation: current.Generation(), Refusal: a.refusal})
+	a.reportFleet(previous, current, learnedByChange)
+	a.watchers.notify(Update{InForce: current.Version(), Generation: current.Generation(), Refusal: a.refusal})
 }
--- a/internal/configuration/changes_test.go
+++ b/internal/configuration/changes_test.go
@@ -10,19 +10,20 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// history is what a source held at each revision from 1 on.
+// history lists the changes and documents of a source, one of each per revision
+// from 1 on.
 type history struct {
-	changes   []snapshot.Change // at revision index+1
+	changes   []snapshot.Change // the change at index i has revision i+1
 	documents []*snapshot.Document
 }
 
-const instanceNames = 3
+const instanceCount = 3
 
-// drawHistory draws changes of instances and of one zone's evacuation, with now and then a
-// change of the routes between them.
+// drawHistory draws changes to instances and to the evacuation of one zone; some revisions also
+// change the routes.
 func drawHistory(t *rapid.T) history {
 	var drawn history
-	var held snapshot.Changes
+	var accumulated snapshot.Changes
 	routes := 1
 	for i := range rapid.IntRange(2, 12).Draw(t, "revisions") {
 		revision := snapshot.Revision(i + 1)
@@ -31,8 +32,8 @@
 			routes++
 		}
 		drawn.changes = append(drawn.changes, change)
-		held.Add([]snapshot.Change{change}, 0)
-		document, err := snapshot.NewDocument(contentOf(revision, routes, &held))
+		accumulated.Add([]snapshot.Change{change}, 0)
+		document, err := snapshot.NewDocument(contentOf(revision, routes, &accumulated))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,15 +43,15 @@
 }
 
 func drawChange(t *rapid.T, revision snapshot.Revision) snapshot.Change {
-	name := fmt.Sprint("i-", rapid.IntRange(1, instanceNames).Draw(t, "instance"))
-	switch rapid.SampledFrom([]string{"ready", "draining", "gone", "evacuated", "taken back"}).Draw(t, "change") {
+	name := fmt.Sprint("i-", rapid.IntRange(1, instanceCount).Draw(t, "instance"))
+	switch rapid.SampledFrom([]string{"ready", "draining", "gone", "evacuated", "evacuation ended"}).Draw(t, "change") {
 	case "ready":
 		return snapshot.InstanceChange(revision, instanceOf(name, snapshot.InstanceReady))
 	case "draining":
 		return snapshot.InstanceChange(revision, instanceOf(name, snapshot.InstanceDraining))
 	case "evacuated":
 		return snapshot.EvacuationChange(revision, "z", true)
-	case "taken back":
+	case "evacuation ended":
 		return snapshot.EvacuationChange(revision, "z", false)
 	default:
 		return snapshot.InstanceGone(revision, name)
@@ -61,9 +62,10 @@
 	return snapshot.Instance{Name: name, Service: "a", Zone: "z", Address: "10.0.0." + name[2:] + ":80", State: state}
 }
 
-// contentOf is the document's content at a revision: all that the changes up to it made.
-func contentOf(revision snapshot.Revision, routes int, held *snapshot.Changes) snapshot.Content {
-	content := held.Apply(snapshot.Content{Services: []snapshot.Service{{Name: "a"}}})
+// contentOf returns the content of a document at a revision: the result of all changes up to it,
+// with the given number of routes.
+func contentOf(revision snapshot.Revision, routes int, accumulated *snapshot.Changes) snapshot.Content {
+	content := accumulated.Apply(snapshot.Content{Services: []snapshot.Service{{Name: "a"}}})
 	content.Revision = revision
 	for i := range routes {
 		content.Routes = append(content.Routes, snapshot.TypedRoute{
@@ -74,10 +76,10 @@
 	return content
 }
 
-// view is what a snapshot says of all keys.
-func view(current *snapshot.Snapshot) string {
+// describe formats the state of all keys in a snapshot.
+func describe(current *snapshot.Snapshot) string {
 	text := fmt.Sprint("evacuated ", current.IsEvacuated("z"))
-	for i := range instanceNames {
+	for i := range instanceCount {
 		name := fmt.Sprint("i-", i+1)
 		instance, listed := current.Instance(name)
 		text += fmt.Sprint("; ", name, " ", listed, " ", instance.State)
@@ -85,19 +87,19 @@
 	return text
 }
 
-// TestChangesAndDocumentsInAnyOrder: changes travel ahead of the documents that hold them, and
-// both come late, twice and in any order. No key ever goes back to what it was at an older
-// revision than one that was in force, and what comes last is what the source holds.
+// TestChangesAndDocumentsInAnyOrder delivers changes and the documents that contain them late,
+// repeatedly and in any order. No key may return to its state at an older revision than one that
+// was applied, and the final state must equal that of the source.
 func TestChangesAndDocumentsInAnyOrder(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := drawHistory(t)
 		applier := newApplier(c)
 		_ = applier.Adopt(drawn.documents[0])
-		known := make(map[snapshot.Key]snapshot.Revision) // the newest revision of each key that was told
+		known := make(map[snapshot.Key]snapshot.Revision) // the newest revision delivered of each key
 		for range rapid.IntRange(1, 30).Draw(t, "arrivals") {
 			at := rapid.IntRange(0, len(drawn.changes)-1).Draw(t, "revision")
-			if rapid.Bool().Draw(t, "a document") {
+			if rapid.Bool().Draw(t, "is a document") {
 				_ = applier.Adopt(drawn.documents[at]) // an older one is refused
 			} else {
 				applier.ChangeFleet(drawn.changes[at : at+1])
@@ -109,18 +111,18 @@
 		applier.ChangeFleet(drawn.changes)
 		last := newApplier(c)
 		_ = last.Adopt(drawn.documents[len(drawn.documents)-1])
-		if got, want := view(applier.Current()), view(last.Current()); got != want {
-			t.Fatalf("with all changes: %s, by the last document: %s", got, want)
+		if got, want := describe(applier.Current()), describe(last.Current()); got != want {
+			t.Fatalf("state after all changes is %q, state of the last document is %q", got, want)
 		}
 		_ = applier.Adopt(drawn.documents[len(drawn.documents)-1])
-		if got, want := view(applier.Current()), view(last.Current()); got != want {
-			t.Fatalf("in the end: %s, by the last document: %s", got, want)
+		if got, want := describe(applier.Current()), describe(last.Current()); got != want {
+			t.Fatalf("final state is %q, state of the last document is %q", got, want)
 		}
 	})
 }
 
-// checkNotOlder compares each key with the newest of what was told of it: the version in force
-// and the changes.
+// checkNotOlder compares the state of each key with the newest change to it that was delivered,
+// either by itself or in the document in force.
 func checkNotOlder(t *rapid.T, current *snapshot.Snapshot, drawn history, known map[snapshot.Key]snapshot.Revision) {
 	newest := make(map[snapshot.Key]snapshot.Change)
 	for _, change := range drawn.changes {
@@ -139,16 +141,16 @@
 		if listed != (change.Instance != nil) {
 			t.Fatalf("%s at revision %d: listed is %v", key, change.Revision, listed)
 		}
-		drains := listed && instance.State == snapshot.InstanceDraining
-		if listed && drains != (change.Instance.State == snapshot.InstanceDraining) {
+		draining := listed && instance.State == snapshot.InstanceDraining
+		if listed && draining != (change.Instance.State == snapshot.InstanceDraining) {
 			t.Fatalf("%s at revision %d is %s", key, change.Revision, instance.State)
 		}
 	}
 }
 
-// TestChangesSurviveARefusedDocument: a document that is refused holds newer changes too, but
-// does not come into force; what was known ahead of it stays so.
-func TestChangesSurviveARefusedDocument(t *testing.T) {
+// TestChangesSurviveRefusedDocument checks that changes applied ahead of a document stay in force
+// when a later document, which contains other changes, is refused.
+func TestChangesSurviveRefusedDocument(t *testing.T) {
 	c := qt.New(t)
 	applier := newApplier(c)
 	var held snapshot.Changes
@@ -157,9 +159,9 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(applier.Adopt(first), qt.IsNil)
 	applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(2, instanceOf("i-1", snapshot.InstanceDraining))})
-	bad := contentOf(3, 1, &held)
-	bad.Routes[0].Targets[0].Service = "nowhere"
-	refused, err := snapshot.NewDocument(bad)
+	invalid := contentOf(3, 1, &held)
+	invalid.Routes[0].Targets[0].Service = "nowhere"
+	refused, err := snapshot.NewDocument(invalid)
 	c.Assert(err, qt.IsNil)
 	c.Assert(applier.Adopt(refused), qt.IsNotNil)
 	instance, _ := applier.Current().Instance("i-1")
@@ -167,10 +169,10 @@
 	c.Check(applier.Current().Version(), qt.Equals, first.Version())
 }
 
-// TestChangesDoNotWaitForACompilation: on a machine with a small part of a processor the
-// compilation of thousands of routes takes long; an instance that leaves meanwhile gets no more
-// requests at once, and the compiled document does not take that back.
-func TestChangesDoNotWaitForACompilation(t *testing.T) {
+// TestChangesDoNotWaitForCompilation: with a fraction of a CPU, compiling thousands of routes takes
+// long. An instance that starts to drain meanwhile must stop getting requests at once, and the
+// compiled document must not undo that.
+func TestChangesDoNotWaitForCompilation(t *testing.T) {
 	c := qt.New(t)
 	applier := newApplier(c)
 	var held snapshot.Changes
@@ -181,16 +183,16 @@
 	second, err := snapshot.NewDocument(contentOf(2, 2, &held))
 	c.Assert(err, qt.IsNil)
 
-	began, letGo := applier.HoldCompilations()
+	started, release := applier.BlockCompilations()
 	adopted := make(chan error)
 	go func() { adopted <- applier.Adopt(second) }()
-	<-began
+	<-started
 	applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(3, instanceOf("i-1", snapshot.InstanceDraining))})
 	instance, _ := applier.Current().Instance("i-1")
 	c.Check(instance.State, qt.Equals, snapshot.InstanceDraining)
 	c.Check(applier.Current().Version(), qt.Equals, first.Version())
 
-	letGo()
+	release()
 	c.Assert(<-adopted, qt.IsNil)
 	instance, _ = applier.Current().Instance("i-1")
 	c.Check(instance.State, qt.Equals, snapshot.InstanceDraining)
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -1,7 +1,7 @@
-// Package configuration puts documents in force on one node: it compiles them
-// with package policy, keeps the answers to their conditions steady while the
-// fleet changes, and swaps the snapshot that the proxies read. It does not move
-// documents between nodes (package distribution).
+// Package configuration applies configuration documents on one node. It compiles
+// them with package policy, damps changes in the results of their conditions, and
+// swaps the snapshot that the proxies read. Package distribution transfers the
+// documents between nodes.
 package configuration
 
 import (
@@ -20,92 +20,92 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// The reasons, besides faults in policies, why Adopt refuses a document; test
-// with errors.Is.
+// Errors that Adopt returns besides *policy.Errors; compare with errors.Is.
 var (
 	// ErrOlder means that a newer revision is in force.
-	ErrOlder = eris.New("the revision is older than the one in force")
-	// ErrConflict means that the revision is in force with other content.
-	ErrConflict = eris.New("the revision is in force with other content")
+	ErrOlder = eris.New("revision is older than the one in force")
+	// ErrConflict means that the same revision is in force with different content.
+	ErrConflict = eris.New("revision is already in force with different content")
 )
 
-// Refusal tells which document was last refused and why. It is dropped once a
-// newer revision is in force.
+// Refusal describes the document that was refused last. It is cleared once a newer
+// revision is in force.
 type Refusal struct {
 	Version snapshot.Version `json:"version"`
 	Reason  string           `json:"reason"`
 	At      time.Time        `json:"at"`
 }
 
-// Options are what an Applier needs.
+// Options configure an Applier.
 type Options struct {
-	// Store takes the snapshots. The Applier is its only writer.
+	// Store receives the snapshots. The Applier must be its only writer.
 	Store *snapshot.Store
 	// Logger is required.
 	Logger logrus.FieldLogger
-	// Registerer takes the metrics; nil for none.
+	// Registerer registers the metrics; if nil, they are not exported.
 	Registerer prometheus.Registerer
-	// Hold is how long a new answer to a condition must hold; zero takes
-	// DefaultHold.
-	Hold time.Duration
-	// HeartbeatInterval is how often an instance renews its entry in the source; zero takes
+	// HoldTime is how long a condition must have a new result before it takes effect; zero
+	// means DefaultHoldTime.
+	HoldTime time.Duration
+	// HeartbeatInterval is how often an instance renews its entry in the source; zero means
 	// DefaultHeartbeatInterval.
 	HeartbeatInterval time.Duration
 }
 
-// DefaultHeartbeatInterval is how often an instance renews its entry where nothing else is set.
+// DefaultHeartbeatInterval is the default of Options.HeartbeatInterval.
 const DefaultHeartbeatInterval = 1500 * time.Millisecond
 
-// Applier puts documents in force. It implements distribution.Adopter, and its
-// methods can be called at once from several goroutines.
+// Applier compiles documents and puts them in force. It implements
+// distribution.Adopter and is safe for concurrent use.
 type Applier struct {
 	store    *snapshot.Store
 	logger   logrus.FieldLogger
 	metrics  *metrics
 	watchers watchers
 
-	// newPlan compiles a document; tests hold it up.
+	// newPlan compiles a document; tests replace it to block a compilation.
 	newPlan func(document *snapshot.Document) (*policy.Plan, error)
 
-	fleet        atomic.Pointer[membership.View]
-	fleetChanged chan struct{}
+	fleet               atomic.Pointer[membership.View]
+	evaluationRequested chan struct{}
 
-	// adopting is held while a document is adopted. Its compilation takes long on a small
-	// machine, and changes of instances do not wait for it.
-	adopting sync.Mutex
+	// adoptMutex serializes Adopt. It is separate from mutex because compiling a document takes
+	// long on a small machine, and changes to instances must not wait for that.
+	adoptMutex sync.Mutex
 
 	mutex sync.Mutex // guards the rest
-	// changes are those of instances and evacuations ahead of the document in force.
+	// changes holds the changes to instances and evacuations that are newer than the document in
+	// force.
 	changes snapshot.Changes
-	// restoration is what is retained against a source that was restored from a copy.
-	restoration restoration
+	// restore holds what the node retains after the source was restored from a backup.
+	restore restoreState
 
-	plan       *policy.Plan
-	conditions Hysteresis
-	refusal    *Refusal
-	refusedFor error
+	plan         *policy.Plan
+	conditions   Hysteresis
+	refusal      *Refusal
+	refusalError error
 }
 
-// NewApplier returns an Applier that holds nothing yet.
+// NewApplier returns an Applier without a document.
 func NewApplier(options Options) (*Applier, error) {
-	if options.Hold == 0 {
-		options.Hold = DefaultHold
+	if options.HoldTime == 0 {
+		options.HoldTime = DefaultHoldTime
 	}
 	if options.HeartbeatInterval == 0 {
 		options.HeartbeatInterval = DefaultHeartbeatInterval
 	}
 	metrics, err := newMetrics(options.Registerer)
 	if err != nil {
-		return nil, eris.Wrap(err, "register the metrics of the configuration")
+		return nil, eris.Wrap(err, "register configuration metrics")
 	}
 	applier := &Applier{
-		store:        options.Store,
-		logger:       logging.Part(options.Logger, "configuration"),
-		metrics:      metrics,
-		fleetChanged: make(chan struct{}, 1),
-		conditions:   NewHysteresis(options.Hold),
-		newPlan:      policy.NewPlan,
-		restoration:  restoration{grace: retainedHeartbeats * options.HeartbeatInterval},
+		store:               options.Store,
+		logger:              logging.Part(options.Logger, "configuration"),
+		metrics:             metrics,
+		evaluationRequested: make(chan struct{}, 1),
+		conditions:          NewHysteresis(options.HoldTime),
+		newPlan:             policy.NewPlan,
+		restore:             restoreState{retention: retentionHeartbeats * options.HeartbeatInterval},
 	}
 	applier.fleet.Store(&membership.View{})
 	return applier, nil
@@ -124,8 +124,8 @@
 	return a.plan.Document()
 }
 
-// Refusal returns the last refusal of a revision that is not below the one in
-// force, if there is one.
+// Refusal returns the last refusal, unless a newer revision than the refused one
+// is in force.
 func (a *Applier) Refusal() (Refusal, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -135,13 +135,13 @@
 	return *a.refusal, true
 }
 
-// Adopt compiles the document and puts it in force as a whole, or returns why it
-// refuses it as a whole: ErrOlder, ErrConflict or *policy.Errors. The refusal of
-// a document is remembered, so that offering it again costs no compilation.
+// Adopt compiles the document and puts all of it in force, or refuses all of it
+// with ErrOlder, ErrConflict or *policy.Errors. The last refusal is remembered, so
+// that the same document is not compiled again when it is offered again.
 func (a *Applier) Adopt(document *snapshot.Document) error {
-	a.adopting.Lock()
-	defer a.adopting.Unlock()
-	if decided, err := a.adoptUncompiled(document); decided {
+	a.adoptMutex.Lock()
+	defer a.adoptMutex.Unlock()
+	if decided, err := a.adoptWithoutCompiling(document); decided {
 		return err
 	}
 	plan, err := a.compile(document)
@@ -158,35 +158,35 @@
 	return nil
 }
 
-// adoptUncompiled decides on a document whose routes need not be compiled: one that must not
-// come into force, or whose routes are those in force already.
-func (a *Applier) adoptUncompiled(document *snapshot.Document) (decided bool, err error) {
+// adoptWithoutCompiling handles documents that need no compilation: those that are refused or
+// in force already, and those whose routes equal the ones in force.
+func (a *Applier) adoptWithoutCompiling(document *snapshot.Document) (decided bool, err error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	version := document.Version()
-	held := a.store.HighWater()
+	highWater := a.store.HighWater()
 	switch {
-	case version == held:
+	case version == highWater:
 		return true, nil
-	case version.Conflicts(held):
-		return true, a.refuse(version, eris.Wrapf(ErrConflict, "%s is offered, %s is in force", version, held))
-	case held.Newer(version):
-		return true, eris.Wrapf(ErrOlder, "%s is offered, %s is in force", version, held)
+	case version.Conflicts(highWater):
+		return true, a.refuse(version, eris.Wrapf(ErrConflict, "offered version %s, version in force %s", version, highWater))
+	case highWater.Newer(version):
+		return true, eris.Wrapf(ErrOlder, "offered version %s, version in force %s", version, highWater)
 	case a.refusal != nil && a.refusal.Version == version:
-		return true, a.refusedFor
+		return true, a.refusalError
 	case a.plan != nil && snapshot.SameRouting(a.plan.Document(), document):
-		return true, a.adoptFleet(document)
+		return true, a.adoptWithCurrentRoutes(document)
 	default:
 		return false, nil
 	}
 }
 
-// adoptFleet puts a document in force whose routes are those in force already.
-// The mutex is held.
-func (a *Applier) adoptFleet(document *snapshot.Document) error {
-	former := a.store.Current()
-	a.enterDocument(document)
-	next := former.WithChanges(document, &a.changes, &a.restoration.retained).Following(former)
+// adoptWithCurrentRoutes puts a document in force whose routes equal the ones in force.
+// The caller must hold the mutex.
+func (a *Applier) adoptWithCurrentRoutes(document *snapshot.Document) error {
+	previous := a.store.Current()
+	a.enterDocumentEpoch(document)
+	next := previous.WithChanges(document, &a.changes, &a.restore.retained).Following(previous)
 	adoption, err := a.store.Adopt(next)
 	switch {
 	case err != nil:
@@ -198,26 +198,27 @@
 	}
 	a.plan = a.plan.WithDocument(document)
 	a.changes.DropUpTo(document.Version().Revision)
-	a.announce(former)
+	a.reportSnapshot(previous)
 	return nil
 }
 
-// FleetChanged tells that the view of the fleet changed. It does not block.
+// FleetChanged sets the view of the fleet that conditions are evaluated with. It
+// does not block.
 func (a *Applier) FleetChanged(view *membership.View) {
 	a.fleet.Store(view)
-	a.signalRun()
+	a.requestEvaluation()
 }
 
-// signalRun has Run look again. It does not block.
-func (a *Applier) signalRun() {
+// requestEvaluation makes Run evaluate again. It does not block.
+func (a *Applier) requestEvaluation() {
 	select {
-	case a.fleetChanged <- struct{}{}:
-	default: // a signal is pending already
+	case a.evaluationRequested <- struct{}{}:
+	default: // an evaluation is already requested
 	}
 }
 
-// Run evaluates the conditions when the fleet changes and when an answer has
-// held long enough. It returns nil after the context ends.
+// Run evaluates the conditions whenever the fleet changes and whenever a new result
+// has lasted for the hold time. It returns nil once the context is done.
 func (a *Applier) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -225,7 +226,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-a.fleetChanged:
+		case <-a.evaluationRequested:
 		case <-timer.C:
 		}
 		if deadline, pending := a.evaluate(time.Now()); pending {
@@ -236,21 +237,21 @@
 	}
 }
 
-// evaluate puts in force what the fleet and the time ask for now, and returns when to come back
-// if the fleet stays as it is.
+// evaluate drops retained statements that have expired, applies changed results of conditions,
+// and returns when to evaluate next if the fleet does not change.
 func (a *Applier) evaluate(now time.Time) (deadline time.Time, pending bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	left, retains := a.endRetention()
+	left, retains := a.expireRetained()
 	deadline, pending = a.evaluateConditions(now)
-	if ends := now.Add(left); retains && (!pending || ends.Before(deadline)) {
-		return ends, true
+	if expiry := now.Add(left); retains && (!pending || expiry.Before(deadline)) {
+		return expiry, true
 	}
 	return deadline, pending
 }
 
-// evaluateConditions puts the routes in force that the fleet asks for now, and returns when the
-// next answer changes. The mutex is held.
+// evaluateConditions puts in force the routes for the present results of the conditions, and
+// returns when the next result takes effect. The caller must hold the mutex.
 func (a *Applier) evaluateConditions(now time.Time) (deadline time.Time, pending bool) {
 	next, changed := a.conditions.Observe(a.fleet.Load(), now)
 	if !changed {
@@ -258,8 +259,8 @@
 		return next.Deadline()
 	}
 	if err := a.putInForce(a.plan, next); err != nil {
-		// The routes of every answer were checked before the plan was adopted.
-		a.logger.WithError(err).Error("routes for the changed fleet are not consistent")
+		// Should not happen: the routes of all variants were checked before the plan was adopted.
+		a.logger.WithError(err).Error("cannot build the routes for the changed fleet")
 	}
 	a.conditions = next
 	return next.Deadline()
@@ -272,18 +273,19 @@
 	return plan, err
 }
 
-// putInForce builds the snapshot of a plan and swaps it in. The mutex is held.
+// putInForce builds the snapshot of a plan and swaps it in. The caller must hold the
+// mutex.
 func (a *Applier) putInForce(plan *policy.Plan, conditions Hysteresis) error {
 	built, err := plan.Snapshot(conditions)
 	if err != nil {
 		return err
 	}
-	former := a.store.Current()
-	a.enterDocument(plan.Document())
-	if a.changes.Len() > 0 || a.restoration.retained.Len() > 0 {
-		built = built.WithChanges(plan.Document(), &a.changes, &a.restoration.retained)
+	previous := a.store.Current()
+	a.enterDocumentEpoch(plan.Document())
+	if a.changes.Len() > 0 || a.restore.retained.Len() > 0 {
+		built = built.WithChanges(plan.Document(), &a.changes, &a.restore.retained)
 	}
-	adoption, err := a.store.Adopt(built.Following(former))
+	adoption, err := a.store.Adopt(built.Following(previous))
 	if err != nil {
 		return err
 	}
@@ -296,18 +298,18 @@
 	a.plan, a.conditions = plan, conditions
 	a.changes.DropUpTo(built.Version().Revision)
 	if adoption == snapshot.Adopted {
-		a.announce(former)
+		a.reportSnapshot(previous)
 	}
 	return nil
 }
 
-// announce tells logs, metrics and watchers what is in force now in place of the former
-// snapshot, which is nil at first.
-func (a *Applier) announce(former *snapshot.Snapshot) {
+// reportSnapshot logs the snapshot in force, updates the metrics and notifies the watchers. The
+// previous snapshot is nil for the first one.
+func (a *Applier) reportSnapshot(previous *snapshot.Snapshot) {
 	current := a.store.Current()
-	a.announceFleet(former, current, wayDocument)
+	a.reportFleet(previous, current, learnedByDocument)
 	if a.refusal != nil && current.Version().Newer(a.refusal.Version) {
-		a.refusal, a.refusedFor = nil, nil
+		a.refusal, a.refusalError = nil, nil
 	}
 	a.metrics.epoch.Set(float64(current.Version().Revision.Epoch()))
 	a.metrics.revision.Set(float64(current.Version().Revision.Number()))
@@ -317,39 +319,40 @@
 		"routes":     len(current.Routes()),
 		"instances":  current.InstanceCount(),
 	}).Info("configuration in force")
-	a.watchers.notify(Change{InForce: current.Version(), Generation: current.Generation(), Refusal: a.refusal})
+	a.watchers.notify(Update{InForce: current.Version(), Generation: current.Generation(), Refusal: a.refusal})
 }
 
-// announceFleet tells logs and metrics what is new of instances and evacuations.
-func (a *Applier) announceFleet(former, current *snapshot.Snapshot, way string) {
+// reportFleet logs the changes to instances and evacuations between two snapshots, sets the
+// metrics, and remembers what was removed.
+func (a *Applier) reportFleet(previous, current *snapshot.Snapshot, learnedBy string) {
 	a.metrics.generation.Set(float64(current.Generation()))
-	a.announceEvacuations(former, current)
-	a.announceEndings(former, current, way)
-	a.restoration.ended.note(former, current)
+	a.reportEvacuations(previous, current)
+	a.reportUnavailable(previous, current, learnedBy)
+	a.restore.removals.record(previous, current)
 }
 
-// announceEvacuations tells logs and metrics which zones began or ceased to be
-// evacuated.
-func (a *Applier) announceEvacuations(former, current *snapshot.Snapshot) {
+// reportEvacuations logs the zones whose evacuation began or ended, and sets the
+// metric of evacuated zones.
+func (a *Applier) reportEvacuations(previous, current *snapshot.Snapshot) {
 	evacuated := current.EvacuatedZones()
 	a.metrics.evacuatedZones.Set(float64(len(evacuated)))
 	for _, zone := range evacuated {
-		if former == nil || !former.IsEvacuated(zone) {
-			a.logger.WithField("zone", zone).WithField("version", current.Version().String()).Warn("zone evacuated: its instances get no requests")
+		if previous == nil || !previous.IsEvacuated(zone) {
+			a.logger.WithField("zone", zone).WithField("version", current.Version().String()).Warn("zone evacuated: no requests are sent to its instances")
 		}
 	}
-	if former == nil {
+	if previous == nil {
 		return
 	}
-	for _, zone := range former.EvacuatedZones() {
+	for _, zone := range previous.EvacuatedZones() {
 		if !current.IsEvacuated(zone) {
-			a.logger.WithField("zone", zone).WithField("version", current.Version().String()).Warn("evacuation taken back: the zone's instances get requests again")
+			a.logger.WithField("zone", zone).WithField("version", current.Version().String()).Warn("zone evacuation ended: requests are sent to its instances again")
 		}
 	}
 }
 
-// refuse records why a document is refused and returns the reason. The mutex is
-// held.
+// refuse records why a document is refused and returns the reason. The caller must
+// hold the mutex.
 func (a *Applier) refuse(version snapshot.Version, reason error) error {
 	if a.refusal != nil && a.refusal.Version == version {
 		return reason
@@ -360,11 +363,11 @@
 		return reason
 	}
 	a.refusal = &Refusal{Version: version, Reason: reason.Error(), At: time.Now()}
-	a.refusedFor = reason
-	change := Change{Refusal: a.refusal}
+	a.refusalError = reason
+	update := Update{Refusal: a.refusal}
 	if current := a.store.Current(); current != nil {
-		change.InForce, change.Generation = current.Version(), current.Generation()
+		update.InForce, update.Generation = current.Version(), current.Generation()
 	}
-	a.watchers.notify(change)
+	a.watchers.notify(update)
 	return reason
 }
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -45,56 +45,56 @@
 func TestAdopt(t *testing.T) {
 	c := qt.New(t)
 	applier := newApplier(c)
-	changes, cancel := applier.Subscribe()
+	updates, cancel := applier.Subscribe()
 	defer cancel()
 	c.Assert(applier.Current(), qt.IsNil)
 	c.Assert(applier.Document(), qt.IsNil)
 
-	five := document(c, 5, plainProgram)
-	c.Assert(applier.Adopt(five), qt.IsNil)
-	c.Assert((<-changes).InForce, qt.Equals, five.Version())
-	c.Assert(applier.Adopt(five), qt.IsNil)
+	adopted := document(c, 5, plainProgram)
+	c.Assert(applier.Adopt(adopted), qt.IsNil)
+	c.Assert((<-updates).InForce, qt.Equals, adopted.Version())
+	c.Assert(applier.Adopt(adopted), qt.IsNil)
 	c.Assert(applier.Current().Generation(), qt.Equals, uint64(1))
-	c.Assert(applier.Document(), qt.Equals, five)
+	c.Assert(applier.Document(), qt.Equals, adopted)
 
 	c.Assert(errors.Is(applier.Adopt(document(c, 4, plainProgram)), configuration.ErrOlder), qt.IsTrue)
 	_, refused := applier.Refusal()
 	c.Assert(refused, qt.IsFalse)
 	c.Assert(errors.Is(applier.Adopt(document(c, 5, plainProgram+" ")), configuration.ErrConflict), qt.IsTrue)
 
-	bad := document(c, 6, `route(name="a", to="reservas"); route(name="b", to="none")`)
-	fault := applier.Adopt(bad)
+	invalid := document(c, 6, `route(name="a", to="reservas"); route(name="b", to="none")`)
+	fault := applier.Adopt(invalid)
 	c.Assert(fault, qt.ErrorMatches, `reservas.star:1:38: there is no service "none" in this revision; publish .*`)
-	c.Assert(applier.Adopt(bad), qt.Equals, fault)
+	c.Assert(applier.Adopt(invalid), qt.Equals, fault)
 	refusal, refused := applier.Refusal()
 	c.Assert(refused, qt.IsTrue)
-	c.Assert(refusal.Version, qt.Equals, bad.Version())
+	c.Assert(refusal.Version, qt.Equals, invalid.Version())
 	c.Assert(refusal.Reason, qt.Equals, fault.Error())
-	change := <-changes
-	c.Assert(change.InForce, qt.Equals, five.Version())
-	c.Assert(*change.Refusal, qt.Equals, refusal)
-	c.Assert(applier.Current().Version(), qt.Equals, five.Version())
+	update := <-updates
+	c.Assert(update.InForce, qt.Equals, adopted.Version())
+	c.Assert(*update.Refusal, qt.Equals, refusal)
+	c.Assert(applier.Current().Version(), qt.Equals, adopted.Version())
 
 	c.Assert(applier.Adopt(document(c, 7, plainProgram)), qt.IsNil)
 	_, refused = applier.Refusal()
 	c.Assert(refused, qt.IsFalse)
-	c.Assert((<-changes).Refusal, qt.IsNil)
+	c.Assert((<-updates).Refusal, qt.IsNil)
 }
 
-// readyCount is a fleet in which each service has that many instances.
+// readyCount is a fleet with that many ready instances of each service.
 type readyCount int
 
 func (r readyCount) ReadyInstances(string, string) int { return int(r) }
 
-// TestHysteresis compares with the rule itself: an answer differs from the one in
-// effect for the hold, at all observations, before it changes.
+// TestHysteresis compares random observations with a simple model: a result
+// changes once all observations during the hold time differ from it.
 func TestHysteresis(t *testing.T) {
 	condition := policy.Condition{Service: "reservas", AtLeast: 2}
 	rapid.Check(t, func(t *rapid.T) {
-		hold := 3 * time.Second
+		holdTime := 3 * time.Second
 		now := time.Unix(0, 0)
 		ready := rapid.IntRange(0, 4).Draw(t, "ready at first")
-		state := configuration.NewHysteresis(hold).Tracking([]policy.Condition{condition}, readyCount(ready))
+		state := configuration.NewHysteresis(holdTime).Tracking([]policy.Condition{condition}, readyCount(ready))
 		inEffect := ready >= 2
 		var differingSince *time.Time
 		for range rapid.IntRange(1, 30).Draw(t, "observations") {
@@ -111,7 +111,7 @@
 				since := now
 				differingSince = &since
 			}
-			due := differingSince != nil && now.Sub(*differingSince) >= hold
+			due := differingSince != nil && now.Sub(*differingSince) >= holdTime
 			if due {
 				inEffect, differingSince = holds, nil
 			}
@@ -119,8 +119,8 @@
 			if changed != due || next.Holds(condition) != inEffect || pending != (differingSince != nil) {
 				t.Fatalf("changed %v, want %v; holds %v, want %v; pending %v", changed, due, next.Holds(condition), inEffect, pending)
 			}
-			if pending && !deadline.Equal(differingSince.Add(hold)) {
-				t.Fatalf("deadline %v after %v", deadline, *differingSince)
+			if pending && !deadline.Equal(differingSince.Add(holdTime)) {
+				t.Fatalf("deadline is %v, but the result has differed since %v", deadline, *differingSince)
 			}
 			state = next.Tracking([]policy.Condition{condition}, count)
 		}
--- a/internal/configuration/export_test.go
+++ b/internal/configuration/export_test.go
@@ -5,13 +5,13 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// HoldCompilations has the compilations that follow tell that they began, and wait to be let go.
-func (a *Applier) HoldCompilations() (began <-chan struct{}, letGo func()) {
-	begun, released := make(chan struct{}, 1), make(chan struct{})
+// BlockCompilations makes the next compilations signal their start and wait for a call of release.
+func (a *Applier) BlockCompilations() (started <-chan struct{}, release func()) {
+	starts, released := make(chan struct{}, 1), make(chan struct{})
 	a.newPlan = func(document *snapshot.Document) (*policy.Plan, error) {
-		begun <- struct{}{}
+		starts <- struct{}{}
 		<-released
 		return policy.NewPlan(document)
 	}
-	return begun, func() { close(released) }
+	return starts, func() { close(released) }
 }
--- a/internal/configuration/fleet_test.go
+++ b/internal/configuration/fleet_test.go
@@ -13,8 +13,8 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// fleet returns a view with that many ready instances.
-func fleet(ready int) *membership.View {
+// fleetWithReady returns a view of a fleet with the given number of ready instances.
+func fleetWithReady(ready int) *membership.View {
 	table := membership.NewTable(membership.Record{Node: "self", Incarnation: 1, Sequence: 1, State: membership.StateStarting})
 	records := make([]membership.Record, ready)
 	for i := range records {
@@ -28,30 +28,32 @@
 	return table.View()
 }
 
-func TestFleetChangeTakesEffectAfterTheHold(t *testing.T) {
+// TestFleetChangeTakesEffectAfterHoldTime checks that routes change only once the
+// fleet has differed for the whole hold time, which restarts when it returns.
+func TestFleetChangeTakesEffectAfterHoldTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		applier := newApplier(c)
 		ctx, stop := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- applier.Run(ctx) }()
+		stopped := make(chan error, 1)
+		go func() { stopped <- applier.Run(ctx) }()
 		defer stop()
-		applier.FleetChanged(fleet(2))
+		applier.FleetChanged(fleetWithReady(2))
 		c.Assert(applier.Adopt(document(c, 1, conditionalProgram)), qt.IsNil)
 		routesAfter := func(ready int, wait time.Duration) int {
-			applier.FleetChanged(fleet(ready))
+			applier.FleetChanged(fleetWithReady(ready))
 			time.Sleep(wait)
 			synctest.Wait()
 			return len(applier.Current().Routes())
 		}
-		hold := configuration.DefaultHold
-		c.Assert(routesAfter(2, 2*hold), qt.Equals, 2)
-		c.Assert(routesAfter(1, hold-time.Millisecond), qt.Equals, 2)
-		c.Assert(routesAfter(3, hold), qt.Equals, 2)
-		c.Assert(routesAfter(1, hold-time.Millisecond), qt.Equals, 2)
+		holdTime := configuration.DefaultHoldTime
+		c.Assert(routesAfter(2, 2*holdTime), qt.Equals, 2)
+		c.Assert(routesAfter(1, holdTime-time.Millisecond), qt.Equals, 2)
+		c.Assert(routesAfter(3, holdTime), qt.Equals, 2)
+		c.Assert(routesAfter(1, holdTime-time.Millisecond), qt.Equals, 2)
 		c.Assert(routesAfter(0, time.Millisecond), qt.Equals, 1)
 		c.Assert(applier.Current().Generation(), qt.Equals, uint64(2))
 		stop()
-		c.Assert(<-ended, qt.IsNil)
+		c.Assert(<-stopped, qt.IsNil)
 	})
 }
--- a/internal/configuration/hysteresis.go
+++ b/internal/configuration/hysteresis.go
@@ -6,20 +6,23 @@
 	"github.com/winchhead/winchhead/internal/policy"
 )
 
-// DefaultHold is how long a new answer to a condition must hold before it takes
-// effect. It is longer than a restart of an instance takes to be noticed and
-// short against the seconds in which a change of the fleet has to show.
-const DefaultHold = 3 * time.Second
+// DefaultHoldTime is how long a condition must have a new result before it takes
+// effect. It is longer than it takes to notice that an instance restarted, and
+// short compared with the seconds within which a change of the fleet must take
+// effect.
+const DefaultHoldTime = 3 * time.Second
 
-// Hysteresis keeps the answers to conditions steady: an answer changes only when
-// the fleet has said otherwise, without a break, for the hold. It is a state
-// machine without a clock; now must not go back. It implements policy.Evaluator.
+// Hysteresis damps the results of conditions: a result changes only after the
+// fleet has continuously given the opposite one for the hold time. It is an
+// immutable state machine without a clock of its own; the times passed to it must
+// not decrease. It implements policy.Evaluator.
 type Hysteresis struct {
-	hold   time.Duration
-	states map[policy.Condition]conditionState
+	holdTime time.Duration
+	states   map[policy.Condition]conditionState
 }
 
-// conditionState is the answer in effect and since when the fleet says otherwise.
+// conditionState is the result in effect and, if the fleet gives the opposite one,
+// since when.
 type conditionState struct {
 	holds          bool
 	differs        bool
@@ -27,12 +30,12 @@
 }
 
 // NewHysteresis returns a Hysteresis that tracks no condition yet.
-func NewHysteresis(hold time.Duration) Hysteresis { return Hysteresis{hold: hold} }
+func NewHysteresis(holdTime time.Duration) Hysteresis { return Hysteresis{holdTime: holdTime} }
 
 // Tracking returns a Hysteresis for exactly the given conditions. Those already
-// tracked keep their state; new ones take the answer of the fleet as it is.
+// tracked keep their state; new ones start with the present result.
 func (h Hysteresis) Tracking(conditions []policy.Condition, fleet policy.FleetView) Hysteresis {
-	next := Hysteresis{hold: h.hold, states: make(map[policy.Condition]conditionState, len(conditions))}
+	next := Hysteresis{holdTime: h.holdTime, states: make(map[policy.Condition]conditionState, len(conditions))}
 	for _, condition := range conditions {
 		state, tracked := h.states[condition]
 		if !tracked {
@@ -43,38 +46,39 @@
 	return next
 }
 
-// Observe takes the fleet as it is now and returns the Hysteresis that follows,
-// and whether any answer in effect changed.
+// Observe evaluates the conditions for the present fleet and returns the next
+// state, and whether any result in effect changed.
 func (h Hysteresis) Observe(fleet policy.FleetView, now time.Time) (next Hysteresis, changed bool) {
-	next = Hysteresis{hold: h.hold, states: make(map[policy.Condition]conditionState, len(h.states))}
+	next = Hysteresis{holdTime: h.holdTime, states: make(map[policy.Condition]conditionState, len(h.states))}
 	for condition, state := range h.states {
-		followed := state.observe(condition.HoldsIn(fleet), now, h.hold)
-		changed = changed || followed.holds != state.holds
-		next.states[condition] = followed
+		observed := state.observe(condition.HoldsIn(fleet), now, h.holdTime)
+		changed = changed || observed.holds != state.holds
+		next.states[condition] = observed
 	}
 	return next, changed
 }
 
-func (s conditionState) observe(holds bool, now time.Time, hold time.Duration) conditionState {
+func (s conditionState) observe(holds bool, now time.Time, holdTime time.Duration) conditionState {
 	if holds == s.holds {
 		return conditionState{holds: s.holds}
 	}
 	if !s.differs {
 		s = conditionState{holds: s.holds, differs: true, differingSince: now}
 	}
-	if now.Sub(s.differingSince) >= hold {
+	if now.Sub(s.differingSince) >= holdTime {
 		return conditionState{holds: holds}
 	}
 	return s
 }
 
-// Deadline returns when the next answer changes if the fleet stays as it is.
+// Deadline returns when the next result changes if the fleet stays as it is, and
+// whether any will.
 func (h Hysteresis) Deadline() (deadline time.Time, pending bool) {
 	for _, state := range h.states {
 		if !state.differs {
 			continue
 		}
-		due := state.differingSince.Add(h.hold)
+		due := state.differingSince.Add(h.holdTime)
 		if !pending || due.Before(deadline) {
 			deadline, pending = due, true
 		}
@@ -82,6 +86,6 @@
 	return deadline, pending
 }
 
-// Holds returns the answer in effect; a condition that is not tracked does not
-// hold.
+// Holds returns the result in effect, which is false for a condition that is not
+// tracked.
 func (h Hysteresis) Holds(condition policy.Condition) bool { return h.states[condition].holds }
--- a/internal/configuration/metrics.go
+++ b/internal/configuration/metrics.go
@@ -12,7 +12,7 @@
 	evacuatedZones prometheus.Gauge
 }
 
-// newMetrics registers the metrics; with a nil registerer they count unseen.
+// newMetrics creates the metrics and registers them unless the registerer is nil.
 func newMetrics(registerer prometheus.Registerer) (*metrics, error) {
 	built := &metrics{
 		epoch: prometheus.NewGauge(prometheus.GaugeOpts{
--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -10,113 +10,116 @@
 )
 
 const (
-	// retainedHeartbeats is how many heartbeats what was known before the source was restored from
-	// a copy holds against it. The source drops the entry of an instance that left after three; the
-	// fourth is for reading of it.
-	retainedHeartbeats = 4
-	// missingGrace is how long the same holds for instances that are missing there. One that left
-	// without a word just after the restore is missing too, and must get no requests for longer
-	// than two seconds.
-	missingGrace = 1750 * time.Millisecond
-	// endedMemory is how long an instance or an evacuation that ended is remembered: a copy that
-	// is younger holds it still.
-	endedMemory = 30 * time.Second
-	// maxEnded bounds the instances and evacuations that are remembered.
-	maxEnded = snapshot.MaxTypedResources
+	// retentionHeartbeats is how many heartbeat intervals the state known before a restore is
+	// retained. The source drops the entry of an instance that left after three; the fourth allows
+	// for reading that change.
+	retentionHeartbeats = 4
+	// missingRetention is how long instances are retained that the restored source does not list.
+	// One that left without notice just after the restore is not listed either, and must get no
+	// requests for longer than two seconds.
+	missingRetention = 1750 * time.Millisecond
+	// removalMemory is how long removed instances and ended evacuations are remembered: a backup
+	// made shortly before still lists them.
+	removalMemory = 30 * time.Second
+	// maxRecentRemovals bounds the remembered removals of instances, and likewise of evacuations.
+	maxRecentRemovals = snapshot.MaxTypedResources
 )
 
-// restoration is what a node retains while a source that was restored from a copy is written anew.
-type restoration struct {
-	// grace is how long what was known holds against the source.
-	grace time.Duration
-	// epoch is the latest of the source that the node knows.
+// restoreState is what a node retains after the source was restored from a backup, until the source
+// is up to date again.
+type restoreState struct {
+	// retention is how long the state known before the restore is retained.
+	retention time.Duration
+	// epoch is the latest epoch of the source that the node knows.
 	epoch    uint64
 	retained snapshot.Retained
-	// since is when the epoch was entered; zero: nothing is retained.
-	since time.Time
-	ended endedBook
-	// last is the last restore that the node has seen, entered at lastAt; nil: none.
-	last   *Restore
-	lastAt time.Time
+	// retainedSince is when the retention began; zero if nothing is retained.
+	retainedSince time.Time
+	removals      recentRemovals
+	// lastRestore is the last restore that the node saw, at lastRestoreAt; nil if there was none.
+	lastRestore   *Restore
+	lastRestoreAt time.Time
 }
 
-// Restore is a restore of the source from a copy, as a node has seen it.
+// Restore describes a restore of the source from a backup, as seen by a node.
 type Restore struct {
-	// From is the version that was in force before, To the first revision read since.
+	// From is the version that was in force before the restore, To the first revision read after it.
 	From snapshot.Version
 	To   snapshot.Revision
-	// Age is how long ago that was.
+	// Age is the time since then.
 	Age time.Duration
-	// Retained is how many statements about instances and evacuations the node holds against the
-	// source, and Left for how much longer at most.
+	// Retained is how many statements about instances and evacuations the node retains in place of
+	// the source's, and Left for how much longer at most.
 	Retained int
 	Left     time.Duration
 }
 
-// LastRestore returns the last restore of the source since the process started; false: there was
-// none.
+// LastRestore returns the last restore of the source that this process saw, if any.
 func (a *Applier) LastRestore() (restore Restore, seen bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	r := &a.restoration
-	if r.last == nil {
+	r := &a.restore
+	if r.lastRestore == nil {
 		return Restore{}, false
 	}
-	restore = *r.last
-	restore.Age = clock.Since(r.lastAt)
+	restore = *r.lastRestore
+	restore.Age = clock.Since(r.lastRestoreAt)
 	if restore.Retained = r.retained.Len(); restore.Retained > 0 {
-		restore.Left = max(r.grace-clock.Since(r.since), 0)
+		restore.Left = max(r.retention-clock.Since(r.retainedSince), 0)
 	}
 	return restore, true
 }
 
-// enterEpoch retains what is known, if a revision is the first one of an epoch. The mutex is
-// held.
+// enterEpoch starts the retention if a revision belongs to a new epoch. The caller must hold the
+// mutex.
 func (a *Applier) enterEpoch(revision snapshot.Revision) {
-	r := &a.restoration
+	r := &a.restore
 	if revision.Epoch() > r.epoch {
 		r.epoch = revision.Epoch()
 		if a.plan != nil {
-			r.last, r.lastAt = &Restore{From: a.store.HighWater(), To: revision}, clock.Now()
+			r.lastRestore, r.lastRestoreAt = &Restore{From: a.store.HighWater(), To: revision}, clock.Now()
 		}
-		a.retain()
+		a.startRetention()
 	}
 }
 
-// enterDocument retains what is known, if a document that is about to come into force is the
-// first one of an epoch. Changes of the epoch may have come long before it. The mutex is held.
-func (a *Applier) enterDocument(document *snapshot.Document) {
+// enterDocumentEpoch restarts the retention if a document that is about to be put in force is the
+// first one of its epoch: changes of that epoch may have arrived long before it. The caller must
+// hold the mutex.
+func (a *Applier) enterDocumentEpoch(document *snapshot.Document) {
 	epoch := document.Version().Revision.Epoch()
-	if a.plan != nil && epoch == a.restoration.epoch && epoch > a.plan.Document().Version().Revision.Epoch() {
-		a.retain()
+	if a.plan != nil && epoch == a.restore.epoch && epoch > a.plan.Document().Version().Revision.Epoch() {
+		a.startRetention()
 	}
 	a.enterEpoch(document.Version().Revision)
-	a.restoration.retained.Settle(document.Content(), &a.changes)
+	a.restore.retained.Settle(document.Content(), &a.changes)
 }
 
-// retain begins, or begins again, to retain what is known now. The mutex is held.
-func (a *Applier) retain() {
-	r := &a.restoration
-	r.since = clock.Now()
-	a.signalRun()
+// startRetention starts or restarts the retention of the state known now. The caller must hold the
+// mutex.
+func (a *Applier) startRetention() {
+	r := &a.restore
+	r.retainedSince = clock.Now()
+	a.requestEvaluation()
 	if a.plan == nil {
 		r.retained = snapshot.Retain(r.epoch, snapshot.Content{}, snapshot.Ended{})
-		a.retainFormer(a.changes.OfFormerEpochs(r.epoch))
+		a.retainEarlierEpochs(a.changes.OfFormerEpochs(r.epoch))
 		return
 	}
-	r.ended.expire(clock.Now())
-	listed := r.retained.Apply(a.changes.Apply(a.plan.Document().Content()))
-	r.retained = snapshot.Retain(r.epoch, listed, r.ended.all())
+	r.removals.expire(clock.Now())
+	known := r.retained.Apply(a.changes.Apply(a.plan.Document().Content()))
+	r.retained = snapshot.Retain(r.epoch, known, r.removals.list())
 	a.logger.WithFields(logrus.Fields{
-		"epoch": r.epoch, "version": a.store.HighWater().String(), "statements": r.retained.Len(), "for_ms": r.grace.Milliseconds(),
-	}).Warn("the source was restored from a copy: what was known of instances and evacuations is retained")
+		"epoch": r.epoch, "version": a.store.HighWater().String(), "statements": r.retained.Len(), "for_ms": r.retention.Milliseconds(),
+	}).Warn("the source was restored from a backup: retaining the known instances and evacuations")
 }
 
-// retainFormer retains the changes of former epochs among changes, which a peer learned before
-// the source was restored, and reports whether there were any. The mutex is held.
-func (a *Applier) retainFormer(changes []snapshot.Change) (retained bool) {
-	r := &a.restoration
-	if r.since.IsZero() {
+// retainEarlierEpochs retains those of the changes that belong to earlier epochs, which a peer
+// learned before the source was restored, and reports whether there were any. The caller must hold
+// the mutex.
+func (a *Applier) retainEarlierEpochs(changes []snapshot.Change) (retained bool) {
+	r := &a.restore
+	if r.retainedSince.IsZero() {
 		return false
 	}
 	for _, change := range changes {
@@ -128,29 +131,30 @@
 	return retained
 }
 
-// endRetention drops what is retained once its time is over, and returns when that is for the
-// rest. The mutex is held.
-func (a *Applier) endRetention() (left time.Duration, pending bool) {
-	r := &a.restoration
-	if r.since.IsZero() {
+// expireRetained drops retained statements whose time is over, and returns how long it is until the
+// next ones expire, if any are left. The caller must hold the mutex.
+func (a *Applier) expireRetained() (left time.Duration, pending bool) {
+	r := &a.restore
+	if r.retainedSince.IsZero() {
 		return 0, false
 	}
-	switch age := clock.Since(r.since); {
-	case age < missingGrace:
-		return missingGrace - age, true
-	case age < r.grace:
+	switch age := clock.Since(r.retainedSince); {
+	case age < missingRetention:
+		return missingRetention - age, true
+	case age < r.retention:
 		a.dropRetained(r.retained.DropMissing)
-		return r.grace - age, true
+		return r.retention - age, true
 	default:
 		a.dropRetained(r.retained.Drop)
-		r.since, r.retained = time.Time{}, snapshot.Retained{}
+		r.retainedSince, r.retained = time.Time{}, snapshot.Retained{}
 		return 0, false
 	}
 }
 
-// dropRetained drops statements and puts in force what the source says in their place. drop gets
-// what the source says and returns how many statements held against that. The mutex is held.
-func (a *Applier) dropRetained(drop func(said snapshot.Content) int) {
+// dropRetained drops retained statements and puts the content of the source in force in their
+// place. drop gets that content and returns how many statements differed from it. The caller must
+// hold the mutex.
+func (a *Applier) dropRetained(drop func(content snapshot.Content) int) {
 	if a.plan == nil {
 		return // nothing is in force
 	}
@@ -158,39 +162,39 @@
 	if dropped == 0 {
 		return
 	}
-	a.logger.WithFields(logrus.Fields{"epoch": a.restoration.epoch, "statements": dropped}).
-		Warn("the restored source did not say again what was retained: its own content holds")
+	a.logger.WithFields(logrus.Fields{"epoch": a.restore.epoch, "statements": dropped}).
+		Warn("retained instances and evacuations expired: applying the content of the restored source")
 	a.applyFleet()
 }
 
-// endedBook remembers what ended last, by name.
-type endedBook struct {
-	instances map[string]endedInstance
+// recentRemovals remembers instances and evacuations that were removed recently, by name.
+type recentRemovals struct {
+	instances map[string]removedInstance
 	zones     map[string]time.Time
 }
 
-type endedInstance struct {
-	instance snapshot.Instance
-	at       time.Time
+type removedInstance struct {
+	instance  snapshot.Instance
+	removedAt time.Time
 }
 
-// note takes over what ended between two snapshots, the first of which may be nil.
-func (b *endedBook) note(former, current *snapshot.Snapshot) {
-	if former == nil {
+// record updates the removals with the differences between two snapshots; previous may be nil.
+func (b *recentRemovals) record(previous, current *snapshot.Snapshot) {
+	if previous == nil {
 		return
 	}
 	if b.instances == nil {
-		b.instances, b.zones = make(map[string]endedInstance), make(map[string]time.Time)
+		b.instances, b.zones = make(map[string]removedInstance), make(map[string]time.Time)
 	}
 	now := clock.Now()
 	b.expire(now)
-	for instance := range former.AllInstances() {
-		if _, listed := current.Instance(instance.Name); !listed && len(b.instances) < maxEnded {
-			b.instances[instance.Name] = endedInstance{instance: instance, at: now}
+	for instance := range previous.AllInstances() {
+		if _, listed := current.Instance(instance.Name); !listed && len(b.instances) < maxRecentRemovals {
+			b.instances[instance.Name] = removedInstance{instance: instance, removedAt: now}
 		}
 	}
-	for _, zone := range former.EvacuatedZones() {
-		if !current.IsEvacuated(zone) && len(b.zones) < maxEnded {
+	for _, zone := range previous.EvacuatedZones() {
+		if !current.IsEvacuated(zone) && len(b.zones) < maxRecentRemovals {
 			b.zones[zone] = now
 		}
 	}
@@ -206,25 +210,25 @@
 	}
 }
 
-func (b *endedBook) expire(now time.Time) {
-	for name, ended := range b.instances {
-		if now.Sub(ended.at) >= endedMemory {
+func (b *recentRemovals) expire(now time.Time) {
+	for name, removed := range b.instances {
+		if now.Sub(removed.removedAt) >= removalMemory {
 			delete(b.instances, name)
 		}
 	}
-	for zone, at := range b.zones {
-		if now.Sub(at) >= endedMemory {
+	for zone, endedAt := range b.zones {
+		if now.Sub(endedAt) >= removalMemory {
 			delete(b.zones, zone)
 		}
 	}
 }
 
-func (b *endedBook) all() (ended snapshot.Ended) {
+func (b *recentRemovals) list() (removed snapshot.Ended) {
 	for _, remembered := range b.instances {
-		ended.Instances = append(ended.Instances, remembered.instance)
+		removed.Instances = append(removed.Instances, remembered.instance)
 	}
 	for zone := range b.zones {
-		ended.Zones = append(ended.Zones, zone)
+		removed.Zones = append(removed.Zones, zone)
 	}
-	return ended
+	return removed
 }
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -14,32 +14,32 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// statement is what a source says of a name, in the order in which it comes to be so: each life of
-// an instance is ready, drains and is gone.
-type statement struct {
+// lifecycleStep is a state of an instance name. The steps are numbered in order: each process with
+// that name is ready, then draining, then gone.
+type lifecycleStep struct {
 	born  int64
-	state snapshot.Lifecycle // empty: gone
+	state snapshot.Lifecycle // empty if gone
 }
 
-// statementAt is the statement number i of any name; 0: it was never listed.
-func statementAt(i int) statement {
+// lifecycleStepAt returns the step with number i; at 0 the name was never listed.
+func lifecycleStepAt(i int) lifecycleStep {
 	if i == 0 {
-		return statement{}
+		return lifecycleStep{}
 	}
-	life, step := (i-1)/3, (i-1)%3
+	process, step := (i-1)/3, (i-1)%3
 	states := []snapshot.Lifecycle{snapshot.InstanceReady, snapshot.InstanceDraining, ""}
-	return statement{born: int64(life + 1), state: states[step]}
+	return lifecycleStep{born: int64(process + 1), state: states[step]}
 }
 
-// numberOf is the least number of the statement that a snapshot makes of a name, if it follows
-// one that was told before.
-func numberOf(current *snapshot.Snapshot, name string, told int) int {
+// stepInSnapshot returns the lowest number, not below the delivered one, of a step that matches the
+// snapshot; for a name that is listed, the number of exactly that step.
+func stepInSnapshot(current *snapshot.Snapshot, name string, delivered int) int {
 	instance, listed := current.Instance(name)
 	if !listed {
-		for statementAt(told).state != "" {
-			told++
+		for lifecycleStepAt(delivered).state != "" {
+			delivered++
 		}
-		return told
+		return delivered
 	}
 	number := int(instance.Born-1)*3 + 1
 	if instance.State == snapshot.InstanceDraining {
@@ -48,31 +48,32 @@
 	return number
 }
 
-// restoredSource is a source whose content is a statement of each name.
-type restoredSource struct {
+// testSource is a source of instances, with the number of the present step of each name.
+type testSource struct {
 	revision snapshot.Revision
-	numbers  map[string]int
-	// changes and documents are those of the present epoch.
+	steps    map[string]int
+	// changes and documents are those published in the present epoch.
 	changes   []snapshot.Change
 	documents []*snapshot.Document
 }
 
-func (s *restoredSource) instance(name string) (snapshot.Instance, bool) {
-	said := statementAt(s.numbers[name])
-	instance := instanceOf(name, said.state)
-	instance.Born = said.born
-	return instance, said.state != ""
+func (s *testSource) instance(name string) (snapshot.Instance, bool) {
+	step := lifecycleStepAt(s.steps[name])
+	instance := instanceOf(name, step.state)
+	instance.Born = step.born
+	return instance, step.state != ""
 }
 
-// progress has a name make its next statement, up to which it came before the source was restored:
-// a life that goes on says again all that the copy lacks, of one that ended only the end shows.
-func (s *restoredSource) progress(name string, before int) {
-	next := s.numbers[name] + 1
-	if next < before && (statementAt(before).state == "" || statementAt(next).born != statementAt(before).born) {
+// advance moves a name to its next step. before is the step that it had reached before the source
+// was restored: a process that still runs writes again all steps that the backup lacks; if it ended,
+// the source goes straight to that step.
+func (s *testSource) advance(name string, before int) {
+	next := s.steps[name] + 1
+	if next < before && (lifecycleStepAt(before).state == "" || lifecycleStepAt(next).born != lifecycleStepAt(before).born) {
 		next = before
 	}
 	s.revision++
-	s.numbers[name] = next
+	s.steps[name] = next
 	if instance, listed := s.instance(name); listed {
 		s.changes = append(s.changes, snapshot.InstanceChange(s.revision, instance))
 	} else {
@@ -80,11 +81,11 @@
 	}
 }
 
-// publish makes a document of the content.
-func (s *restoredSource) publish(t *rapid.T) *snapshot.Document {
+// publish adds a document with the present content.
+func (s *testSource) publish(t *rapid.T) *snapshot.Document {
 	s.revision++
 	content := contentOf(s.revision, 1, &snapshot.Changes{})
-	for name := range s.numbers {
+	for name := range s.steps {
 		if instance, listed := s.instance(name); listed {
 			content.Instances = append(content.Instances, instance)
 		}
@@ -97,12 +98,12 @@
 	return document
 }
 
-// restore returns a source with the content of a copy, in the next epoch.
-func (s *restoredSource) restore(copied map[string]int, revision snapshot.Revision) *restoredSource {
-	return &restoredSource{revision: snapshot.NewRevision(s.revision.Epoch()+1, revision.Number()), numbers: copied}
+// restore returns the source restored from a backup made at a revision, in the next epoch.
+func (s *testSource) restore(backup map[string]int, revision snapshot.Revision) *testSource {
+	return &testSource{revision: snapshot.NewRevision(s.revision.Epoch()+1, revision.Number()), steps: backup}
 }
 
-func names(t *rapid.T) []string {
+func drawNames(t *rapid.T) []string {
 	var drawn []string
 	for i := range rapid.IntRange(1, 4).Draw(t, "names") {
 		drawn = append(drawn, fmt.Sprint("i-", i+1))
@@ -110,42 +111,42 @@
 	return drawn
 }
 
-func copyOf(numbers map[string]int) map[string]int {
-	copied := make(map[string]int, len(numbers))
-	for name, number := range numbers {
-		copied[name] = number
+func copySteps(steps map[string]int) map[string]int {
+	copied := make(map[string]int, len(steps))
+	for name, step := range steps {
+		copied[name] = step
 	}
 	return copied
 }
 
-// TestRestoredSourceIsNoStepBack: a source comes back from a copy, more than once, while names
-// go through their lives; its changes and documents come late, twice and in any order. Of no name
-// does a node ever believe less than it was told, whatever a copy says.
-func TestRestoredSourceIsNoStepBack(t *testing.T) {
+// TestNodeNeverRevertsAfterRestore restores a source from backups, more than once, while instances
+// start, drain and end; its changes and documents arrive late, repeatedly and in any order. The
+// node must never return a name to an earlier step than one it was told of.
+func TestNodeNeverRevertsAfterRestore(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
 		applier := newApplier(c)
-		all := names(t)
-		source := &restoredSource{revision: snapshot.NewRevision(1, 0), numbers: make(map[string]int)}
-		truth, told := make(map[string]int), make(map[string]int)
+		all := drawNames(t)
+		source := &testSource{revision: snapshot.NewRevision(1, 0), steps: make(map[string]int)}
+		latest, delivered := make(map[string]int), make(map[string]int)
 		for epoch := range rapid.IntRange(2, 4).Draw(t, "epochs") {
-			copied, copiedAt := copyOf(source.numbers), source.revision
+			backup, backupRevision := copySteps(source.steps), source.revision
 			if epoch > 0 {
-				source = source.restore(copied, copiedAt)
+				source = source.restore(backup, backupRevision)
 			}
 			_ = applier.Adopt(source.publish(t))
-			for name, number := range source.numbers {
-				if statementAt(number).state != "" { // what is missing may only be missing in the copy
-					told[name] = max(told[name], number)
+			for name, step := range source.steps {
+				if lifecycleStepAt(step).state != "" { // a name that is not listed may just be missing in the backup
+					delivered[name] = max(delivered[name], step)
 				}
 			}
-			copied, copiedAt = copyOf(source.numbers), source.revision
+			backup, backupRevision = copySteps(source.steps), source.revision
 			for range rapid.IntRange(0, 12).Draw(t, "steps") {
 				name := rapid.SampledFrom(all).Draw(t, "name")
 				switch rapid.IntRange(0, 3).Draw(t, "step") {
-				case 0: // what the copy lacks is written again, or something new
-					source.progress(name, truth[name])
-					truth[name] = max(truth[name], source.numbers[name])
+				case 0: // writes again what the backup lacks, or something new
+					source.advance(name, latest[name])
+					latest[name] = max(latest[name], source.steps[name])
 				case 1:
 					source.publish(t)
 				case 2:
@@ -153,33 +154,33 @@
 						change := rapid.SampledFrom(source.changes).Draw(t, "change")
 						applier.ChangeFleet([]snapshot.Change{change})
 						if change.Revision <= applier.Current().Version().Revision {
-							continue // the document in force says what came of it
+							continue // the document in force is newer
 						}
-						told[change.Key.Name] = max(told[change.Key.Name], numberIn(change, truth[change.Key.Name]))
+						delivered[change.Key.Name] = max(delivered[change.Key.Name], stepOfChange(change, latest[change.Key.Name]))
 					}
 				default:
 					_ = applier.Adopt(rapid.SampledFrom(source.documents).Draw(t, "document"))
 				}
 				for _, name := range all {
-					if believed := numberOf(applier.Current(), name, told[name]); believed < told[name] {
-						t.Fatalf("epoch %d: of %s statement %d is believed, %d was told", epoch, name, believed, told[name])
+					if applied := stepInSnapshot(applier.Current(), name, delivered[name]); applied < delivered[name] {
+						t.Fatalf("epoch %d: %s is at step %d in the snapshot, but step %d was delivered", epoch, name, applied, delivered[name])
 					}
-					told[name] = max(told[name], min(numberOf(applier.Current(), name, told[name]), truth[name]))
+					delivered[name] = max(delivered[name], min(stepInSnapshot(applier.Current(), name, delivered[name]), latest[name]))
 				}
 			}
-			// The copy is from before some of the last steps.
-			if rapid.Bool().Draw(t, "an older copy") {
-				source.numbers, source.revision = copied, copiedAt
+			// The next backup may lack the last steps.
+			if rapid.Bool().Draw(t, "an older backup") {
+				source.steps, source.revision = backup, backupRevision
 			}
 		}
 	})
 }
 
-// numberIn is the number of the statement that a change makes; an end is of the life before the
-// highest number that it may have.
-func numberIn(change snapshot.Change, highest int) int {
+// stepOfChange returns the number of the step that a change leads to, at most the highest that it may
+// have, or 0 for the removal of an instance.
+func stepOfChange(change snapshot.Change, highest int) int {
 	if change.Instance == nil {
-		return 0 // an end may be of any life: the snapshot tells
+		return 0 // any process of that name may have ended; the snapshot shows which
 	}
 	number := int(change.Instance.Born-1)*3 + 1
 	if change.Instance.State == snapshot.InstanceDraining {
@@ -188,20 +189,20 @@
 	return min(number, highest)
 }
 
-// runApplier runs an applier until the test ends, in the test's bubble.
+// runApplier runs an Applier in the synctest bubble of the test until stop is called.
 func runApplier(c *qt.C, t *testing.T) (applier *configuration.Applier, stop func()) {
 	applier = newApplier(c)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- applier.Run(ctx) }()
+	stopped := make(chan error, 1)
+	go func() { stopped <- applier.Run(ctx) }()
 	return applier, func() {
 		cancel()
-		c.Check(<-ended, qt.IsNil)
+		c.Check(<-stopped, qt.IsNil)
 	}
 }
 
-// listOf is a document that lists instances.
-func listOf(c *qt.C, revision snapshot.Revision, instances ...snapshot.Instance) *snapshot.Document {
+// documentListing returns a document that lists the given instances.
+func documentListing(c *qt.C, revision snapshot.Revision, instances ...snapshot.Instance) *snapshot.Document {
 	content := contentOf(revision, 1, &snapshot.Changes{})
 	content.Instances = instances
 	built, err := snapshot.NewDocument(content)
@@ -209,73 +210,71 @@
 	return built
 }
 
-// stateIn is the state in which an instance is in force; empty: it is not.
+// stateIn returns the state of an instance in the snapshot in force; empty if it is not listed.
 func stateIn(applier *configuration.Applier, name string) snapshot.Lifecycle {
 	instance, _ := applier.Current().Instance(name)
 	return instance.State
 }
 
-// TestInstanceThatLeftStandsInACopy: the entries of two instances went, one after it had said that
-// it leaves, and a copy from before that lists both as ready. Nobody writes such an entry again,
-// and the platform drops it after three heartbeats of silence, 4.5 s. Until then the instances
-// were in force again from 2.5 s after the restore on:
-//
-//	"the restored source did not say again what was retained: its own content holds" epoch=2 statements=2
-func TestInstanceThatLeftStandsInACopy(t *testing.T) {
-	const silence = 3 * 1500 * time.Millisecond
+// TestRemovedInstanceListedInBackup: two instances were removed, one of them after it had started
+// to drain, and a backup from before lists both as ready. Nobody renews these entries, and the
+// platform drops them after three missed heartbeats, 4.5 s. When the node dropped what it retained
+// 2.5 s after the restore, both were in force again until then.
+func TestRemovedInstanceListedInBackup(t *testing.T) {
+	const dropDelay = 3 * 1500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		applier, stop := runApplier(c, t)
 		defer stop()
 		left, gone, stays := instanceOf("i-1", snapshot.InstanceReady), instanceOf("i-2", snapshot.InstanceReady), instanceOf("i-3", snapshot.InstanceReady)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(1, 7), left, gone, stays)), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 7), left, gone, stays)), qt.IsNil)
 		applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(1, 8), instanceOf("i-1", snapshot.InstanceDraining))})
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(1, 9), stays)), qt.IsNil)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(2, 6), left, gone, stays)), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 9), stays)), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 6), left, gone, stays)), qt.IsNil)
 		for range 10 {
-			time.Sleep(silence / 10)
+			time.Sleep(dropDelay / 10)
 			synctest.Wait()
 			c.Check([]snapshot.Lifecycle{stateIn(applier, "i-1"), stateIn(applier, "i-2"), stateIn(applier, "i-3")}, qt.DeepEquals,
 				[]snapshot.Lifecycle{"", "", snapshot.InstanceReady})
 		}
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(2, 7), stays)), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 7), stays)), qt.IsNil)
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.Lifecycle(""))
 	})
 }
 
-// TestInstanceWritesItselfAgain: the entry of an instance went although it lived, and stands in
-// the copy. Once the instance has written it again, it is used.
-func TestInstanceWritesItselfAgain(t *testing.T) {
+// TestRemovedInstanceRegistersAgain: the entry of a running instance was removed, and the backup
+// still lists it. The instance must get requests only once it has written the entry again.
+func TestRemovedInstanceRegistersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		applier, stop := runApplier(c, t)
 		defer stop()
 		lapsed := instanceOf("i-1", snapshot.InstanceReady)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(1, 7), lapsed)), qt.IsNil)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(1, 9))), qt.IsNil)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(2, 6), lapsed)), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 7), lapsed)), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 9))), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 6), lapsed)), qt.IsNil)
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.Lifecycle(""))
 		applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(2, 7), lapsed)})
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.InstanceReady)
 	})
 }
 
-// TestLastRestore: a node tells from which version to which revision its source went, and how long
-// what it retains holds.
+// TestLastRestore checks that a node reports the version before a restore, the first revision after
+// it, and how much it retains for how long.
 func TestLastRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		applier, stop := runApplier(c, t)
 		defer stop()
 		left, stays := instanceOf("i-1", snapshot.InstanceReady), instanceOf("i-2", snapshot.InstanceReady)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(1, 7), left, stays)), qt.IsNil)
-		before := listOf(c, snapshot.NewRevision(1, 9), stays)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 7), left, stays)), qt.IsNil)
+		before := documentListing(c, snapshot.NewRevision(1, 9), stays)
 		c.Assert(applier.Adopt(before), qt.IsNil)
 		_, seen := applier.LastRestore()
-		c.Check(seen, qt.IsFalse, qt.Commentf("the first epoch that a node reads is no restore"))
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(2, 6), left, stays)), qt.IsNil)
+		c.Check(seen, qt.IsFalse, qt.Commentf("the first epoch that a node reads does not count as a restore"))
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 6), left, stays)), qt.IsNil)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		restore, seen := applier.LastRestore()
@@ -290,32 +289,33 @@
 	})
 }
 
-// TestRetentionEnds: what a copy lacks and nobody writes again holds until the source has dropped
-// the entries of all that do not renew them, and no longer; what is written again holds at once.
+// TestRetentionEnds: a state that the backup lacks and nobody writes again is retained until the
+// source has dropped all entries that are not renewed; an instance that the source does not list is
+// retained for a shorter time. What is written again applies at once.
 func TestRetentionEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		applier, stop := runApplier(c, t)
 		defer stop()
 		ready, draining := instanceOf("i-1", snapshot.InstanceReady), instanceOf("i-1", snapshot.InstanceDraining)
-		missing, again := instanceOf("i-2", snapshot.InstanceReady), instanceOf("i-3", snapshot.InstanceReady)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(1, 9), draining, missing, again)), qt.IsNil)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(2, 4), ready)), qt.IsNil)
+		unlisted, rewritten := instanceOf("i-2", snapshot.InstanceReady), instanceOf("i-3", snapshot.InstanceReady)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 9), draining, unlisted, rewritten)), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 4), ready)), qt.IsNil)
 		c.Check([]snapshot.Lifecycle{stateIn(applier, "i-1"), stateIn(applier, "i-2"), stateIn(applier, "i-3")}, qt.DeepEquals,
 			[]snapshot.Lifecycle{snapshot.InstanceDraining, snapshot.InstanceReady, snapshot.InstanceReady})
 		time.Sleep(time.Second)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(2, 5), ready, again)), qt.IsNil)
-		c.Assert(applier.Adopt(listOf(c, snapshot.NewRevision(2, 6), ready)), qt.IsNil)
-		c.Check(stateIn(applier, "i-3"), qt.Equals, snapshot.Lifecycle(""), qt.Commentf("it was written again and is gone"))
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 5), ready, rewritten)), qt.IsNil)
+		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 6), ready)), qt.IsNil)
+		c.Check(stateIn(applier, "i-3"), qt.Equals, snapshot.Lifecycle(""), qt.Commentf("it was written again and then removed"))
 		c.Check(stateIn(applier, "i-2"), qt.Equals, snapshot.InstanceReady)
-		time.Sleep(time.Second) // what is missing may have left just after the restore
+		time.Sleep(time.Second) // an unlisted instance may have left just after the restore
 		synctest.Wait()
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.InstanceDraining)
 		c.Check(stateIn(applier, "i-2"), qt.Equals, snapshot.Lifecycle(""))
 		time.Sleep(2500 * time.Millisecond) // three heartbeats after the restore
 		synctest.Wait()
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.InstanceDraining)
-		time.Sleep(1500 * time.Millisecond) // the source keeps the entry: somebody renews it
+		time.Sleep(1500 * time.Millisecond) // the source still lists the entry, so the instance renews it
 		synctest.Wait()
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.InstanceReady)
 	})
