--- a/internal/policy/benchmark_test.go
+++ b/internal/policy/benchmark_test.go
@@ -16,8 +16,8 @@
 	benchmarkRoutesPerService = 10
 )
 
-// benchmarkDocument has 30 services and 300 routes: one policy a service, each
-// with one condition, so that each policy runs twice.
+// benchmarkDocument returns a document with 30 services and 300 routes. Each service
+// has a policy with one condition, so each policy runs twice.
 func benchmarkDocument(b *testing.B) *snapshot.Document {
 	content := snapshot.Content{Revision: 1, Secrets: []snapshot.Secret{{Name: "token", Value: "demo"}}}
 	for i := range benchmarkServices {
@@ -69,8 +69,8 @@
 	}
 }
 
-// BenchmarkCompileTyped measures putting 2000 routes that are declared as data in
-// force.
+// BenchmarkCompileTyped measures building a snapshot of 2000 routes that are declared
+// as data rather than by programs.
 func BenchmarkCompileTyped(b *testing.B) {
 	content := snapshot.Content{Revision: 1, Services: []snapshot.Service{{Name: "a"}}}
 	for i := range 2000 {
--- a/internal/policy/budget.go
+++ b/internal/policy/budget.go
@@ -2,27 +2,27 @@
 
 import "go.starlark.net/starlark"
 
-// budget is what the programs of one document may still use.
+// budget is what remains of the limits that the programs of one document share.
 type budget struct {
-	// steps is what is left before the run in progress.
+	// steps is the number left, not counting those of the run in progress.
 	steps  uint64
 	memory int
 }
 
-// The costs that are charged for values, in bytes. Each is an upper estimate.
+// Memory charged per value, in bytes; both are upper bounds.
 const (
 	valueBytes = 16
 	routeBytes = 1024
 )
 
 const (
-	// stringBytesPerStep is how much of a string one step may visit.
+	// stringBytesPerStep is how many bytes of a string count as one step.
 	stringBytesPerStep = 64
 	// maxCompareDepth bounds the nesting of values that are compared.
 	maxCompareDepth = 8
 )
 
-// chargeMemory takes bytes from the budget, or tells that it is used up.
+// chargeMemory deducts bytes from the budget and fails if it is exhausted.
 func (b *budget) chargeMemory(bytes int) error {
 	if bytes > b.memory {
 		b.memory = 0
@@ -33,11 +33,11 @@
 }
 
 func errTooManySteps() error {
-	return problemf("shorten the loops, or ask fewer conditions", "the policies take more than %d steps", MaxSteps)
+	return problemf("shorten the loops, or use fewer conditions", "the policies take more than %d steps", MaxSteps)
 }
 
-// chargeSteps counts work that a builtin is about to do, or tells that the steps
-// are used up. The interpreter counts its own steps in the same place.
+// chargeSteps counts the work that a builtin is about to do and fails if no steps
+// are left. The interpreter counts its own steps in the same counter.
 func (r *execution) chargeSteps(steps int) error {
 	r.thread.Steps += uint64(steps)
 	if r.thread.Steps >= r.compiler.budget.steps {
@@ -54,10 +54,10 @@
 	return r.compiler.budget.chargeMemory(length)
 }
 
-// chargeTree charges one step for each value reachable from the values, and one
-// for each stringBytesPerStep bytes of strings. A value that is reachable in
-// several ways counts each time, as comparing visits it each time.
-func (r *execution) chargeTree(values ...starlark.Value) error {
+// chargeTraversal charges one step for each value reachable from the given ones,
+// and one for each stringBytesPerStep bytes of strings. A value that is reachable
+// on several paths counts for each, as a comparison visits it each time.
+func (r *execution) chargeTraversal(values ...starlark.Value) error {
 	for _, value := range values {
 		if err := r.chargeValue(value, 0); err != nil {
 			return err
@@ -68,7 +68,7 @@
 
 func (r *execution) chargeValue(value starlark.Value, depth int) error {
 	if depth > maxCompareDepth {
-		return problemf("compare the parts", "a value that is nested more than %d levels deep is compared", maxCompareDepth)
+		return problemf("compare the parts", "cannot compare a value nested more than %d levels deep", maxCompareDepth)
 	}
 	switch value := value.(type) {
 	case starlark.String:
--- a/internal/policy/condition.go
+++ b/internal/policy/condition.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Condition is one question that policies ask about the fleet: are at least
-// AtLeast instances of Service ready in Zone, or in all zones when Zone is empty?
+// Condition holds if at least AtLeast instances of Service are ready in Zone, or in
+// all zones together if Zone is empty.
 type Condition struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone,omitempty"`
 	AtLeast int    `json:"at_least"`
 }
 
-// String writes the condition as a policy does.
+// String returns the condition as a call of ready() in a policy.
 func (c Condition) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "ready(%q", c.Service)
@@ -28,38 +28,38 @@
 	return text.String() + ")"
 }
 
-// HoldsIn reports whether the condition holds by the counts of fleet.
+// HoldsIn reports whether the condition holds for the instances that fleet counts.
 func (c Condition) HoldsIn(fleet FleetView) bool {
 	return fleet.ReadyInstances(c.Service, c.Zone) >= c.AtLeast
 }
 
-// Evaluator answers conditions. While one snapshot is built, the same condition
-// must get the same answer.
+// Evaluator gives the results of conditions. A condition must keep its result while
+// a snapshot is built.
 type Evaluator interface {
-	// Holds tells whether the condition counts as true now.
+	// Holds reports whether the condition counts as true now.
 	Holds(condition Condition) bool
 }
 
-// CountsOf returns an Evaluator that answers by the counts of fleet.
-func CountsOf(fleet FleetView) Evaluator { return counts{fleet: fleet} }
+// CountsOf returns an Evaluator that uses the instance counts of fleet.
+func CountsOf(fleet FleetView) Evaluator { return countEvaluator{fleet: fleet} }
 
-type counts struct{ fleet FleetView }
+type countEvaluator struct{ fleet FleetView }
 
 // Holds implements Evaluator.
-func (c counts) Holds(condition Condition) bool { return condition.HoldsIn(c.fleet) }
+func (c countEvaluator) Holds(condition Condition) bool { return condition.HoldsIn(c.fleet) }
 
-// answer is a condition and what a program was told.
-type answer struct {
+// conditionResult is a condition and the result that ready() returned for it.
+type conditionResult struct {
 	condition Condition
 	holds     bool
 }
 
-// String writes the answer as an assumption in an error message.
-func (a answer) String() string {
-	if a.holds {
-		return a.condition.String() + " is True"
+// String formats the result for Error.Assumed.
+func (r conditionResult) String() string {
+	if r.holds {
+		return r.condition.String() + " is True"
 	}
-	return a.condition.String() + " is False"
+	return r.condition.String() + " is False"
 }
 
 func compareConditions(a, b Condition) int {
@@ -74,8 +74,8 @@
 	var conditions []Condition
 	for _, program := range programs {
 		for _, variant := range program.variants {
-			for _, answered := range variant.answers {
-				conditions = append(conditions, answered.condition)
+			for _, result := range variant.results {
+				conditions = append(conditions, result.condition)
 			}
 		}
 	}
--- a/internal/policy/execute.go
+++ b/internal/policy/execute.go
@@ -7,11 +7,11 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// runKey is the name under which a thread holds its *execution.
-const runKey = "run"
+// executionKey is the key of the *execution among the locals of a thread.
+const executionKey = "run"
 
-// fileOptions are the options of the language: conditions and loops at the top
-// level, no sets, no while, no recursion.
+// fileOptions allow if and for statements at the top level, and no sets, while
+// loops or recursion.
 var fileOptions = syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
 
 // compiler compiles the policies of one document.
@@ -19,9 +19,10 @@
 	services map[string]bool
 	secrets  map[string]bool
 	budget   budget
-	// routes counts the most routes that can be in force at once.
-	routes   int
-	prefixes map[string]string // route prefix to policy
+	// routeCount is how many routes of the policies compiled so far can be in force at
+	// once.
+	routeCount int
+	prefixes   map[string]string // route prefix to policy
 }
 
 func newCompiler(content snapshot.Content) *compiler {
@@ -40,18 +41,18 @@
 	return compiler
 }
 
-// compile runs one policy for each combination of answers it can get.
+// compile runs one policy for each combination of results of its conditions.
 func (c *compiler) compile(source snapshot.Policy) (compiledProgram, *Error) {
 	compiled := compiledProgram{name: source.Name}
-	if err := c.claimPrefix(source.Name); err != nil {
+	if err := c.reservePrefix(source.Name); err != nil {
 		return compiled, newError(source.Name, err)
 	}
 	program, err := parse(source)
 	if err != nil {
 		return compiled, newError(source.Name, err)
 	}
-	most := 0
-	pending := [][]answer{nil}
+	maxRoutes := 0
+	pending := [][]conditionResult{nil}
 	for len(pending) > 0 {
 		assumed := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
@@ -59,22 +60,22 @@
 		if fault != nil {
 			return compiled, fault
 		}
-		pending = append(pending, branches(result.answers, len(assumed))...)
+		pending = append(pending, branches(result.results, len(assumed))...)
 		compiled.variants = append(compiled.variants, result)
-		most = max(most, len(result.routes))
+		maxRoutes = max(maxRoutes, len(result.routes))
 		if len(compiled.variants)+len(pending) > MaxVariants {
 			return compiled, newError(source.Name, errTooManyVariants())
 		}
 	}
-	c.routes += most
-	if c.routes > MaxRoutes {
-		return compiled, newError(source.Name, problemf("join routes with shorter path prefixes", "the document has more than %d routes", MaxRoutes))
+	c.routeCount += maxRoutes
+	if c.routeCount > MaxRoutes {
+		return compiled, newError(source.Name, problemf("merge routes by using shorter path prefixes", "the document has more than %d routes", MaxRoutes))
 	}
 	return compiled, nil
 }
 
-// claimPrefix makes sure that no two policies give routes the same names.
-func (c *compiler) claimPrefix(name string) error {
+// reservePrefix fails if another policy has the same prefix for the names of its routes.
+func (c *compiler) reservePrefix(name string) error {
 	prefix := routePrefix(name)
 	if other, taken := c.prefixes[prefix]; taken {
 		return problemf("rename one of them", "policies %q and %q give their routes the same names", other, name)
@@ -83,19 +84,19 @@
 	return nil
 }
 
-// branches returns the assumptions still to run: for each answer that was given
-// freely, the answers before it and its opposite.
-func branches(answers []answer, assumed int) [][]answer {
-	var pending [][]answer
-	for i := assumed; i < len(answers); i++ {
-		branch := append([]answer(nil), answers[:i+1]...)
+// branches returns the assumptions still to run: for each result beyond the assumed
+// ones, the results before it and its opposite.
+func branches(results []conditionResult, assumed int) [][]conditionResult {
+	var pending [][]conditionResult
+	for i := assumed; i < len(results); i++ {
+		branch := append([]conditionResult(nil), results[:i+1]...)
 		branch[i].holds = !branch[i].holds
 		pending = append(pending, branch)
 	}
 	return pending
 }
 
-// parse checks the text against the subset of the language and compiles it.
+// parse parses a policy, restricts it to the supported language and compiles it.
 func parse(source snapshot.Policy) (*starlark.Program, error) {
 	file, err := fileOptions.Parse(source.Name, source.Program, 0)
 	if err != nil {
@@ -107,15 +108,16 @@
 	return starlark.FileProgram(file, predeclared.Has)
 }
 
-// variant is the outcome of one run: the answers given and the routes stated.
+// variant is the outcome of one run: the results of conditions that the program got
+// and the routes that it defined.
 type variant struct {
-	answers []answer
+	results []conditionResult
 	routes  []snapshot.Route
 }
 
-func (v *variant) fits(answers Evaluator) bool {
-	for _, given := range v.answers {
-		if answers.Holds(given.condition) != given.holds {
+func (v *variant) matches(conditions Evaluator) bool {
+	for _, result := range v.results {
+		if conditions.Holds(result.condition) != result.holds {
 			return false
 		}
 	}
@@ -124,27 +126,27 @@
 
 // execution is the state of one run of a program.
 type execution struct {
-	compiler *compiler
-	policy   string
-	thread   *starlark.Thread
-	assumed  []answer
-	given    map[Condition]bool
-	names    map[string]syntax.Position
-	result   variant
+	compiler   *compiler
+	policy     string
+	thread     *starlark.Thread
+	assumed    []conditionResult
+	evaluated  map[Condition]bool
+	routeNames map[string]syntax.Position
+	variant    variant
 }
 
-// run executes a program; conditions beyond the assumed ones hold.
-func (c *compiler) run(policy string, program *starlark.Program, assumed []answer) (variant, *Error) {
+// run executes a program. Conditions that it evaluates after the assumed ones hold.
+func (c *compiler) run(policy string, program *starlark.Program, assumed []conditionResult) (variant, *Error) {
 	thread := &starlark.Thread{Name: policy}
 	current := &execution{
-		compiler: c,
-		policy:   policy,
-		thread:   thread,
-		assumed:  assumed,
-		given:    map[Condition]bool{},
-		names:    map[string]syntax.Position{},
-	}
-	thread.SetLocal(runKey, current)
+		compiler:   c,
+		policy:     policy,
+		thread:     thread,
+		assumed:    assumed,
+		evaluated:  map[Condition]bool{},
+		routeNames: map[string]syntax.Position{},
+	}
+	thread.SetLocal(executionKey, current)
 	thread.SetMaxExecutionSteps(max(1, c.budget.steps))
 	exhausted := false
 	thread.OnMaxSteps = func(thread *starlark.Thread) {
@@ -158,39 +160,39 @@
 		c.budget.steps = 0
 	}
 	if err == nil {
-		return current.result, nil
+		return current.variant, nil
 	}
 	fault := newError(policy, err)
 	if exhausted {
 		limit := errTooManySteps().(*problem)
 		fault.Problem, fault.Hint = limit.text, limit.hint
 	}
-	for _, given := range current.result.answers {
-		fault.Assumed = append(fault.Assumed, given.String())
+	for _, result := range current.variant.results {
+		fault.Assumed = append(fault.Assumed, result.String())
 	}
 	return variant{}, fault
 }
 
-// runOf returns the execution that a builtin was called from.
-func runOf(thread *starlark.Thread) *execution { return thread.Local(runKey).(*execution) }
+// executionOf returns the execution that a builtin was called from.
+func executionOf(thread *starlark.Thread) *execution { return thread.Local(executionKey).(*execution) }
 
 func errTooManyVariants() error {
-	return problemf("ask fewer conditions in one policy, or split it", "the conditions combine in more than %d ways", MaxVariants)
+	return problemf("use fewer conditions in one policy, or split it", "the conditions combine in more than %d ways", MaxVariants)
 }
 
-// answer tells a program whether a condition holds.
-func (r *execution) answer(condition Condition) (bool, error) {
-	if holds, asked := r.given[condition]; asked {
+// evaluate returns the result of a condition for ready(): the assumed one, or true.
+func (r *execution) evaluate(condition Condition) (bool, error) {
+	if holds, known := r.evaluated[condition]; known {
 		return holds, nil
 	}
-	if len(r.result.answers) >= MaxVariants {
+	if len(r.variant.results) >= MaxVariants {
 		return false, errTooManyVariants()
 	}
 	holds := true
-	if next := len(r.result.answers); next < len(r.assumed) {
+	if next := len(r.variant.results); next < len(r.assumed) {
 		holds = r.assumed[next].holds
 	}
-	r.given[condition] = holds
-	r.result.answers = append(r.result.answers, answer{condition: condition, holds: holds})
+	r.evaluated[condition] = holds
+	r.variant.results = append(r.variant.results, conditionResult{condition: condition, holds: holds})
 	return holds, nil
 }
--- a/internal/policy/match.go
+++ b/internal/policy/match.go
@@ -19,24 +19,23 @@
 	maxPrefixBytes = 64
 )
 
-// knownMethods are the methods a route can take. CONNECT and TRACE are left out,
-// as they concern proxies themselves.
+// knownMethods are the methods a route can match. CONNECT and TRACE are excluded,
+// as they are addressed to proxies themselves.
 var knownMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPost,
 	http.MethodPut, http.MethodPatch, http.MethodDelete,
 }
 
-// framingHeaders describe the connection or the body; the proxy sets or removes
-// them, so that no policy can match or set them.
-var framingHeaders = []string{
+// reservedHeaders describe the connection or the body. The proxy sets or removes
+// them, so policies can neither match nor set them.
+var reservedHeaders = []string{
 	"Connection", "Content-Length", "Expect", "Host", "Keep-Alive",
 	"Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Via",
 	outcome.HeaderTimeout, outcome.HeaderIdempotencyKey,
 }
 
-// callerHeaders belong to the caller and its request; a secret must not take
-// their place.
+// callerHeaders are set by callers; a secret must not overwrite them.
 var callerHeaders = []string{
 	"Accept", "Accept-Encoding", "Content-Encoding", "Content-Language",
 	"Content-Location", "Content-Range", "Content-Type", "Cookie", "Date",
@@ -58,14 +57,14 @@
 	return canonical, nil
 }
 
-// checkHeaderName returns the canonical name of a header that policies may name.
+// checkHeaderName returns the canonical name of a header that policies may use.
 func checkHeaderName(name string) (string, error) {
 	if !isToken(name) || len(name) > snapshot.MaxNameBytes {
-		return "", problemf("a header's name has letters, digits and '-'", "%q is not the name of a header", shorten(name))
+		return "", problemf("a header name consists of letters, digits and '-'", "%q is not a valid header name", truncate(name))
 	}
 	canonical := textproto.CanonicalMIMEHeaderKey(name)
-	if strings.HasPrefix(canonical, outcome.InternalPrefix) || slices.Contains(framingHeaders, canonical) {
-		return "", problemf("choose another header", "header %s is kept for the proxy itself", canonical)
+	if strings.HasPrefix(canonical, outcome.InternalPrefix) || slices.Contains(reservedHeaders, canonical) {
+		return "", problemf("choose another header", "header %s is reserved for the proxy", canonical)
 	}
 	return canonical, nil
 }
@@ -75,8 +74,9 @@
 	return name != "" && strings.Trim(name, tokenBytes) == ""
 }
 
-// isHeaderText reports whether text holds only bytes that are safe in a header.
-func isHeaderText(text string) bool {
+// isPrintableASCII reports whether text consists of printable ASCII characters, which
+// are safe in a header.
+func isPrintableASCII(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] > '~' {
 			return false
@@ -93,7 +93,7 @@
 	const allowed = "abcdefghijklmnopqrstuvwxyz0123456789-."
 	lower := strings.ToLower(host)
 	if len(lower) > maxHostBytes || strings.Trim(lower, allowed) != "" || strings.HasSuffix(lower, ".") {
-		return "", problemf(`write a full name without a port, such as "reservas.mesh"; leave host= out to take any`, "%q is not the name of a host", shorten(host))
+		return "", problemf(`write a full name without a port, such as "reservas.mesh"; leave out host= to match any`, "%q is not a valid host name", truncate(host))
 	}
 	return lower, nil
 }
@@ -104,49 +104,49 @@
 		return nil
 	}
 	if path[0] != '/' {
-		return problemf(`write "/`+shorten(path)+`"`, "path %q does not start with a slash", shorten(path))
+		return problemf(`write "/`+truncate(path)+`"`, "path %q does not start with a slash", truncate(path))
 	}
-	if len(path) > maxPathBytes || !isHeaderText(path) || strings.ContainsAny(path, " ?#%*\\\"<>{}|^`") {
-		return problemf("write the plain start of the path, without wildcards, query or escapes", "path %q cannot be matched", shorten(path))
+	if len(path) > maxPathBytes || !isPrintableASCII(path) || strings.ContainsAny(path, " ?#%*\\\"<>{}|^`") {
+		return problemf("write the literal start of the path, without wildcards, query or escapes", "path %q cannot be matched", truncate(path))
 	}
 	trimmed := strings.Trim(path, "/")
 	parts := strings.Split(trimmed, "/")
 	if len(parts) > snapshot.MaxPathSegments {
-		return problemf("shorten it", "path %q has more than %d segments", shorten(path), snapshot.MaxPathSegments)
+		return problemf("shorten it", "path %q has more than %d segments", truncate(path), snapshot.MaxPathSegments)
 	}
 	for _, part := range parts {
 		if part == "." || part == ".." || (part == "" && trimmed != "") {
-			return problemf("write the path without it", "path %q has an empty or a dot segment", shorten(path))
+			return problemf("remove that segment", "path %q has an empty or a dot segment", truncate(path))
 		}
 	}
 	return nil
 }
 
-// checkMethods reads a list of methods; None and a missing list are empty.
-func checkMethods(argument string, value starlark.Value) ([]string, error) {
+// parseMethods returns the methods in a list; None or no value gives none.
+func parseMethods(argument string, value starlark.Value) ([]string, error) {
 	if value == nil || value == starlark.None {
 		return nil, nil
 	}
 	list, ok := value.(*starlark.List)
 	if !ok {
-		return nil, problemf(`write `+argument+`=["GET"]`, "%s= does not take a value of type %s", argument, value.Type())
+		return nil, problemf(`write `+argument+`=["GET"]`, "%s= does not accept a value of type %s", argument, value.Type())
 	}
 	var methods []string
 	for element := range list.Elements() {
 		method, _ := starlark.AsString(element)
 		if !slices.Contains(knownMethods, method) {
-			return nil, problemf("the methods are "+strings.Join(knownMethods, ", "), "%s= has something that is not a method in upper case", argument)
+			return nil, problemf("the methods are "+strings.Join(knownMethods, ", "), "%s= contains an element that is not a method in upper case", argument)
 		}
 		if slices.Contains(methods, method) {
-			return nil, problemf("leave one out", "%s= has %s twice", argument, method)
+			return nil, problemf("remove one", "%s= contains %s twice", argument, method)
 		}
 		methods = append(methods, method)
 	}
 	return methods, nil
 }
 
-// checkMatchHeaders reads a dict of header names and exact values.
-func checkMatchHeaders(dict *starlark.Dict) (map[string]string, error) {
+// parseMatchHeaders returns the header names and exact values in a dict.
+func parseMatchHeaders(dict *starlark.Dict) (map[string]string, error) {
 	if dict == nil || dict.Len() == 0 {
 		return nil, nil
 	}
@@ -161,11 +161,11 @@
 			return nil, err
 		}
 		value, ok := starlark.AsString(element)
-		if !ok || !isHeaderText(value) || len(value) > maxHeaderBytes {
+		if !ok || !isPrintableASCII(value) || len(value) > maxHeaderBytes {
 			return nil, problemf(`write headers={"X-Kind": "urgent"}`, "the value of header %s is not a printable string of at most %d bytes", canonical, maxHeaderBytes)
 		}
-		if _, twice := headers[canonical]; twice {
-			return nil, problemf("leave one out", "header %s is matched twice", canonical)
+		if _, duplicate := headers[canonical]; duplicate {
+			return nil, problemf("remove one", "header %s is matched twice", canonical)
 		}
 		headers[canonical] = value
 	}
--- a/internal/policy/operators.go
+++ b/internal/policy/operators.go
@@ -5,23 +5,23 @@
 	"go.starlark.net/syntax"
 )
 
-// The names of guards that replace other syntax than operators. They contain
-// characters that no identifier has.
+// Names of the guards that replace syntax other than operators. They contain
+// characters that no identifier can have.
 const (
 	guardTuple = "tuple()"
 	guardKey   = "[key]"
 )
 
 const (
-	// maxTuple bounds the elements of a tuple.
-	maxTuple = 16
-	// maxList bounds the elements of a list built by +.
-	maxList = 10_000
-	// maxIndex bounds the numbers that index a list.
-	maxIndex = maxList
+	// maxTupleElements bounds the elements of a tuple.
+	maxTupleElements = 16
+	// maxListElements bounds the elements of a list built by +.
+	maxListElements = 10_000
+	// maxIndex bounds the numbers used as an index or a dict key.
+	maxIndex = maxListElements
 )
 
-// guardedOperators are the binary operators of the language.
+// guardedOperators holds the binary operators of the language, except "and" and "or".
 var guardedOperators = map[syntax.Token]bool{
 	syntax.PLUS: true, syntax.MINUS: true, syntax.STAR: true, syntax.SLASH: true,
 	syntax.SLASHSLASH: true, syntax.PERCENT: true,
@@ -29,28 +29,29 @@
 	syntax.GT: true, syntax.GE: true, syntax.IN: true, syntax.NOT_IN: true,
 }
 
-// guards returns the guards by the names that restrict gives them.
-func guards() starlark.StringDict {
-	dictionary := starlark.StringDict{
+// guardBuiltins returns the builtins that replace guarded syntax, by the names that
+// restrict uses.
+func guardBuiltins() starlark.StringDict {
+	builtins := starlark.StringDict{
 		guardTuple: starlark.NewBuiltin(guardTuple, makeTuple),
 		guardKey:   starlark.NewBuiltin(guardKey, checkKey),
 	}
 	for operator := range guardedOperators {
 		name := operator.String()
-		dictionary[name] = starlark.NewBuiltin(name, func(thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
-			return operate(runOf(thread), operator, args[0], args[1])
+		builtins[name] = starlark.NewBuiltin(name, func(thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
+			return applyOperator(executionOf(thread), operator, args[0], args[1])
 		})
 	}
-	return dictionary
+	return builtins
 }
 
-// operate applies an operator within the limits and charges what it costs.
-func operate(run *execution, operator syntax.Token, x, y starlark.Value) (starlark.Value, error) {
+// applyOperator applies an operator within the limits and charges its cost.
+func applyOperator(run *execution, operator syntax.Token, x, y starlark.Value) (starlark.Value, error) {
 	switch operator {
 	case syntax.EQL, syntax.NEQ, syntax.LT, syntax.LE, syntax.GT, syntax.GE:
 		return compare(run, operator, x, y)
 	case syntax.IN, syntax.NOT_IN:
-		if err := run.chargeTree(x, y); err != nil {
+		if err := run.chargeTraversal(x, y); err != nil {
 			return nil, err
 		}
 		return starlark.Binary(operator, x, y)
@@ -65,46 +66,47 @@
 		return checkNumber(starlark.Binary(operator, x, y))
 	}
 	if !isNumber(x) || !isNumber(y) {
-		return nil, problemf("use numbers", "the operator %s does not take %s and %s", operator, x.Type(), y.Type())
+		return nil, problemf("use numbers", "operator %s does not support %s and %s", operator, x.Type(), y.Type())
 	}
 	return checkNumber(starlark.Binary(operator, x, y))
 }
 
 func compare(run *execution, operator syntax.Token, x, y starlark.Value) (starlark.Value, error) {
-	if err := run.chargeTree(x, y); err != nil {
+	if err := run.chargeTraversal(x, y); err != nil {
 		return nil, err
 	}
 	if isBool(x) != isBool(y) && (isNumber(x) || isNumber(y)) {
-		return nil, problemf("ready() answers True or False; give it at_least= to ask for a number", "a bool is compared with a number")
+		return nil, problemf("ready() returns True or False; use at_least= to require a number of instances", "cannot compare a bool with a number")
 	}
 	holds, err := starlark.Compare(operator, x, y)
 	return starlark.Bool(holds), err
 }
 
-// checkConcatenation bounds the result of + before it is built.
+// checkConcatenation checks the operands of + and charges its result before it is
+// built.
 func checkConcatenation(run *execution, x, y starlark.Value) error {
 	switch x := x.(type) {
 	case starlark.String:
 		other, ok := y.(starlark.String)
 		if !ok {
-			return problemf("use str() to make a string of it", "a string and a value of type %s are added", y.Type())
+			return problemf("use str() to convert it to a string", "cannot add a string and a value of type %s", y.Type())
 		}
 		return run.chargeString(len(x) + len(other))
 	case *starlark.List:
 		other, ok := y.(*starlark.List)
 		if !ok {
-			return problemf("put it in a list", "a list and a value of type %s are added", y.Type())
+			return problemf("put it in a list", "cannot add a list and a value of type %s", y.Type())
 		}
 		length := x.Len() + other.Len()
-		if length > maxList {
-			return problemf("make smaller lists", "a list has more than %d elements", maxList)
+		if length > maxListElements {
+			return problemf("make smaller lists", "a list has more than %d elements", maxListElements)
 		}
 		return run.compiler.budget.chargeMemory(length * valueBytes)
 	}
 	if isNumber(x) && isNumber(y) {
 		return nil
 	}
-	return problemf("use numbers, strings or lists", "the operator + does not take %s and %s", x.Type(), y.Type())
+	return problemf("use numbers, strings or lists", "operator + does not support %s and %s", x.Type(), y.Type())
 }
 
 // format applies the % operator to a pattern; only scalars can be formatted.
@@ -116,7 +118,7 @@
 	}
 	for _, operand := range operands {
 		if !isScalar(operand) {
-			return nil, problemf("format strings and numbers only", "a value of type %s is formatted", operand.Type())
+			return nil, problemf("format strings and numbers only", "cannot format a value of type %s", operand.Type())
 		}
 		if text, ok := operand.(starlark.String); ok {
 			length += len(text)
@@ -128,21 +130,22 @@
 	return starlark.Binary(syntax.PERCENT, pattern, values)
 }
 
-// makeTuple refuses a tuple within a tuple; restrict bounds the elements. So
-// hashing and freezing a tuple takes little work.
+// makeTuple refuses a tuple within a tuple. Together with the bound on elements in
+// restrict, this keeps hashing and freezing a tuple cheap.
 func makeTuple(thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	for _, element := range args {
 		if _, nested := element.(starlark.Tuple); nested {
-			return nil, problemf("use a list for the inner one", "a tuple is inside of a tuple")
+			return nil, problemf("use a list for the inner one", "a tuple cannot contain a tuple")
 		}
 	}
-	if err := runOf(thread).compiler.budget.chargeMemory(len(args) * valueBytes); err != nil {
+	if err := executionOf(thread).compiler.budget.chargeMemory(len(args) * valueBytes); err != nil {
 		return nil, err
 	}
 	return args, nil
 }
 
-// checkKey bounds keys and indexes: strings and small numbers hash well.
+// checkKey allows only strings and small numbers as keys and indexes, as these are
+// cheap to hash.
 func checkKey(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	switch key := args[0].(type) {
 	case starlark.String:
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,12 +1,11 @@
-// Package policy turns the policies of a document, which are short Starlark
-// programs, into routes. A program is deterministic, does no input or output and
-// is bounded in steps and memory; docs/POLICIES.md is the language reference.
+// Package policy compiles the policies of a document, which are short Starlark
+// programs, to routes. A program is deterministic, has no input or output, and is
+// limited in steps and memory; docs/POLICIES.md is the language reference.
 //
-// A program may ask with ready() about the state of the fleet. It is run ahead
-// for each combination of answers it can get, so that a document is accepted or
-// refused alike on every node, whatever a node believes of the fleet, and a
-// change of the fleet runs no program. Package configuration decides when an
-// answer changes.
+// A program can query the state of the fleet with ready(). It is run in advance for
+// each combination of results, so that every node accepts or refuses a document
+// regardless of its view of the fleet, and no program runs when the fleet changes.
+// Package configuration decides when the result of a condition changes.
 package policy
 
 import (
@@ -22,25 +21,25 @@
 const (
 	// MaxRoutes bounds the routes that are in force at once.
 	MaxRoutes = 2000
-	// MaxSteps bounds the computation steps, all variants of all programs together.
+	// MaxSteps bounds the computation steps of all variants of all programs together.
 	MaxSteps = 500_000
-	// MaxMemoryBytes bounds what the programs build with operators and routes,
-	// counted as if nothing were ever freed.
+	// MaxMemoryBytes bounds the memory of values built with operators and of routes,
+	// counted as if none were ever freed.
 	MaxMemoryBytes = 16 << 20
-	// MaxVariants bounds the combinations of answers that one program can meet.
+	// MaxVariants bounds the combinations of condition results for one program.
 	MaxVariants = 64
 )
 
-// programSuffix is left out of the names of routes.
+// programSuffix is removed from the name of a policy to form its route prefix.
 const programSuffix = ".star"
 
-// FleetView tells how many instances of a service may take new work, in one
-// zone, or in all zones when zone is empty. membership.View implements it.
+// FleetView counts the instances of a service that accept new requests, in one zone,
+// or in all zones if zone is empty. membership.View implements it.
 type FleetView interface {
 	ReadyInstances(service, zone string) int
 }
 
-// Plan is a compiled document: its routes for each combination of answers to the
+// Plan is a compiled document: its routes for each combination of results of the
 // conditions. It is immutable.
 type Plan struct {
 	document   *snapshot.Document
@@ -48,14 +47,14 @@
 	conditions []Condition
 }
 
-// compiledProgram is one policy with its routes for each combination of answers.
+// compiledProgram is one policy with its routes for each combination of results.
 type compiledProgram struct {
 	name     string
 	variants []variant
 }
 
-// Compile returns the routes of a document for a fleet as it is now. All
-// policies compile, or the error, an *Errors, tells what is wrong with each.
+// Compile returns the snapshot of a document for the present fleet. The error is an
+// *Errors if any policy cannot be compiled.
 func Compile(document *snapshot.Document, fleet FleetView) (*snapshot.Snapshot, error) {
 	plan, err := NewPlan(document)
 	if err != nil {
@@ -64,15 +63,15 @@
 	return plan.Snapshot(CountsOf(fleet))
 }
 
-// NewPlan runs the policies of a document. The error is an *Errors when a policy
-// is at fault. Whether NewPlan succeeds depends on the document alone.
+// NewPlan runs the policies of a document. The error is an *Errors if any policy is
+// faulty. Whether NewPlan succeeds depends on the document alone.
 func NewPlan(document *snapshot.Document) (*Plan, error) {
 	content := document.Content()
 	compiler := newCompiler(content)
 	plan := &Plan{document: document}
 	var faults []*Error
-	for _, source := range content.Policies {
-		program, fault := compiler.compile(source)
+	for _, policy := range content.Policies {
+		program, fault := compiler.compile(policy)
 		if fault != nil {
 			faults = append(faults, fault)
 			continue
@@ -86,8 +85,8 @@
 	return plan, nil
 }
 
-// WithDocument returns the plan for a document that differs from the plan's own
-// only in what routes do not depend on (snapshot.SameRouting).
+// WithDocument returns the plan for a document with the same routing as the plan's
+// own (snapshot.SameRouting).
 func (p *Plan) WithDocument(document *snapshot.Document) *Plan {
 	next := *p
 	next.document = document
@@ -97,18 +96,18 @@
 // Document returns the document that the plan was compiled from.
 func (p *Plan) Document() *snapshot.Document { return p.document }
 
-// Conditions returns all conditions that may matter, sorted.
+// Conditions returns, sorted, all conditions that any variant evaluates.
 func (p *Plan) Conditions() []Condition { return p.conditions }
 
-// Snapshot returns the snapshot for the given answers.
-func (p *Plan) Snapshot(answers Evaluator) (*snapshot.Snapshot, error) {
+// Snapshot returns the snapshot for the given results of the conditions.
+func (p *Plan) Snapshot(conditions Evaluator) (*snapshot.Snapshot, error) {
 	var routes []snapshot.Route
 	for i := range p.programs {
-		chosen := p.programs[i].choose(answers)
-		if chosen == nil {
-			return nil, eris.Errorf("policy %s: the conditions were answered two ways at once", p.programs[i].name)
+		variant := p.programs[i].variantFor(conditions)
+		if variant == nil {
+			return nil, eris.Errorf("policy %s: a condition changed its result while the snapshot was built", p.programs[i].name)
 		}
-		routes = append(routes, chosen.routes...)
+		routes = append(routes, variant.routes...)
 	}
 	content := p.document.Content()
 	routes = slices.Grow(routes, len(content.Routes))
@@ -122,18 +121,19 @@
 	return built.WithFleet(p.document.Version(), content), nil
 }
 
-// choose returns the variant whose answers all hold. The variants are the leaves
-// of a decision tree, so that exactly one fits steady answers.
-func (c *compiledProgram) choose(answers Evaluator) *variant {
+// variantFor returns the variant that matches the conditions. The variants are the
+// leaves of a decision tree, so that exactly one matches unless results change
+// meanwhile.
+func (c *compiledProgram) variantFor(conditions Evaluator) *variant {
 	for i := range c.variants {
-		if c.variants[i].fits(answers) {
+		if c.variants[i].matches(conditions) {
 			return &c.variants[i]
 		}
 	}
 	return nil
 }
 
-// routePrefix returns what the names of a policy's routes start with.
+// routePrefix returns the prefix of the names of a policy's routes.
 func routePrefix(policyName string) string {
 	return strings.TrimSuffix(policyName, programSuffix) + "/"
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -14,7 +14,8 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// readyCounts is a fleet in which each service has as many instances everywhere.
+// readyCounts is a fleet with the given number of ready instances of each service,
+// whichever zone is asked for.
 type readyCounts map[string]int
 
 func (r readyCounts) ReadyInstances(service, _ string) int { return r[service] }
@@ -45,7 +46,7 @@
 	c.Assert(plain, qt.DeepEquals, snapshot.Route{
 		Name: "a/plain", Targets: []snapshot.WeightedService{{Service: "reservas", Weight: 1}},
 		PreferZone: true, SpillOver: policy.DefaultSpillOver, Timeout: policy.DefaultTimeout,
-		RepeatMethods: policy.DefaultRepeat, MaxAttempts: policy.DefaultAttempts,
+		RepeatMethods: policy.DefaultRepeatMethods, MaxAttempts: policy.DefaultAttempts,
 	})
 	full := compile(t, 0, `
 route(
@@ -95,7 +96,7 @@
 	})
 }
 
-func TestFaultsHavePositionAndHint(t *testing.T) {
+func TestErrorsHavePositionAndHint(t *testing.T) {
 	const r = `route(name="r", to="reservas"`
 	for _, test := range []struct{ program, fault string }{
 		{"\n  route()", `a.star:2:3: syntax error: .*; correct this line; .*`},
@@ -108,34 +109,34 @@
 		{`secret_header(header="A", secret="none")`, `a.star:1:14: there is no secret "none" in this revision; publish .*`},
 		{`ready("none")`, `.*no service "none".*`},
 		{`ready("reservas", at_least=0)`, `.*at_least 0 is not between 1 and 100000; .*`},
-		{`if ready("reservas") >= 2: pass`, `.*1:22: a bool is compared with a number \(when .*\); ready\(\) answers True or False; .*`},
-		{r + ")\n" + r + ")", `a.star:2:6: route "a/r" is already stated in line 1; .*`},
+		{`if ready("reservas") >= 2: pass`, `.*1:22: cannot compare a bool with a number \(when .*\); ready\(\) returns True or False; .*`},
+		{r + ")\n" + r + ")", `a.star:2:6: route "a/r" is already defined in line 1; .*`},
 		{`route(name="a b", to="reservas")`, `.*the route's name "a b" is not.*`},
 		{`route(name="r", to=[])`, `.*a route has 0 targets.*`},
-		{`route(name="r", to=7)`, `.*to= does not take a value of type int; .*`},
+		{`route(name="r", to=7)`, `.*to= does not accept a value of type int; .*`},
 		{`route(name="r", to=["reservas", target("reservas")])`, `.*service "reservas" is a target twice; .*`},
 		{`target("reservas", weight=0)`, `.*weight 0 is not between 1 and 1000; .*`},
-		{r + `, host="*.mesh")`, `.*"\*.mesh" is not the name of a host; .*`},
-		{r + `, host="a:80")`, `.*"a:80" is not the name of a host; .*`},
+		{r + `, host="*.mesh")`, `.*"\*.mesh" is not a valid host name; .*`},
+		{r + `, host="a:80")`, `.*"a:80" is not a valid host name; .*`},
 		{r + `, path="bookings")`, `.*path "bookings" does not start with a slash; write "/bookings"`},
 		{r + `, path="/a/../b")`, `.*path "/a/../b" has an empty or a dot segment; .*`},
 		{r + `, path="/a/*")`, `.*path "/a/\*" cannot be matched; .*`},
-		{r + `, methods=["get"])`, `.*methods= has something that is not a method in upper case; the methods are GET, .*`},
-		{r + `, methods=["CONNECT"])`, `.*methods= has something.*`},
-		{r + `, methods=["GET"], repeat=["PUT"])`, `.*repeat= has PUT, which the route does not take; .*`},
-		{r + `, headers={"Host": "x"})`, `.*header Host is kept for the proxy itself; .*`},
+		{r + `, methods=["get"])`, `.*methods= contains an element that is not a method in upper case; the methods are GET, .*`},
+		{r + `, methods=["CONNECT"])`, `.*methods= contains an element.*`},
+		{r + `, methods=["GET"], repeat=["PUT"])`, `.*repeat= contains PUT, which the route does not match; .*`},
+		{r + `, headers={"Host": "x"})`, `.*header Host is reserved for the proxy; .*`},
 		{r + `, headers={"X-A": "a\nb"})`, `.*the value of header X-A is not a printable string.*`},
 		{r + `, timeout="2")`, `.*timeout "2" is not a duration; write it as.*`},
 		{r + `, timeout="2h")`, `.*timeout 2h0m0s is not between 10ms and 1h0m0s; .*`},
 		{r + `, timeout="-1s")`, `.*timeout -1s is not between.*`},
 		{r + `, attempts=6)`, `.*attempts 6 is not between 1 and 5; .*`},
 		{r + `, spill_over=1.5)`, `.*spill_over is not a number above 0 and at most 1; .*`},
-		{r + `, spill_over=0.5, prefer_zone=False)`, `.*spill_over= has no meaning.*`},
+		{r + `, spill_over=0.5, prefer_zone=False)`, `.*spill_over= has no effect.*`},
 		{r + `, max_in_flight=-1)`, `.*max_in_flight -1 is not between 0 and 100000; .*`},
-		{r + `, secrets=["token"])`, `.*secrets= does not take a value of type string; .*`},
+		{r + `, secrets=["token"])`, `.*secrets= does not accept a value of type string; .*`},
 		{r + `, secrets=[secret_header(header=h, secret="token") for h in ["X-A", "x-a"]])`, `.*header X-A is set twice; .*`},
 		{`secret_header(header="X", secret="token", prefix="a\r\n")`, `.*the prefix of header X is not printable.*`},
-		{`fail("no crew on duty")`, `a.star:1:5: no crew on duty; the policy itself refuses with fail\(\)`},
+		{`fail("no crew on duty")`, `a.star:1:5: no crew on duty; the policy called fail\(\)`},
 		{`x = [1][3]`, `a.star:1:8: list index 3 out of range.*`},
 	} {
 		_, err := policy.NewPlan(document(t, test.program))
@@ -143,7 +144,9 @@
 	}
 }
 
-func TestHeadersThatNoSecretMaySet(t *testing.T) {
+// TestForbiddenSecretHeaders checks that a secret cannot be sent in a header that
+// the proxy or the caller sets, or in one whose name is invalid.
+func TestForbiddenSecretHeaders(t *testing.T) {
 	for _, header := range []string{
 		"host", "Content-Length", "transfer-encoding", "Connection", "Upgrade", "TE", "Trailer",
 		"Winchhead-Outcome", "winchhead-anything", "Request-Timeout-Ms", "Idempotency-Key",
@@ -154,7 +157,9 @@
 	}
 }
 
-func TestAllPoliciesOfADocumentOrNone(t *testing.T) {
+// TestErrorsOfAllPolicies checks that a document is refused with one error for each
+// faulty policy.
+func TestErrorsOfAllPolicies(t *testing.T) {
 	c := qt.New(t)
 	_, err := policy.NewPlan(document(t, `route(name="r", to="reservas")`, `nonsense()`, `load("x", "y")`))
 	var faults *policy.Errors
@@ -164,16 +169,17 @@
 	c.Assert(strings.Count(err.Error(), "\n"), qt.Equals, 1)
 }
 
-func TestPoliciesWithTheSameRouteNames(t *testing.T) {
+func TestConflictingRoutePrefixes(t *testing.T) {
 	content := document(t, "").Content()
 	content.Policies = append(content.Policies, snapshot.Policy{Name: "a"})
-	same, err := snapshot.NewDocument(content)
+	conflicting, err := snapshot.NewDocument(content)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = policy.NewPlan(same)
+	_, err = policy.NewPlan(conflicting)
 	qt.Assert(t, err, qt.ErrorMatches, `a.star:1:1: policies "a" and "a.star" give their routes the same names; rename one of them`)
 }
 
-// TestConditions asks for each number of ready instances which route there is.
+// TestConditions checks which route is in force for different numbers of ready
+// instances.
 func TestConditions(t *testing.T) {
 	c := qt.New(t)
 	plan, err := policy.NewPlan(document(t, `
@@ -200,9 +206,9 @@
 	}
 }
 
-// TestFaultInABranchIsFoundWhateverTheFleet makes sure that all nodes refuse a
-// document alike.
-func TestFaultInABranchIsFoundWhateverTheFleet(t *testing.T) {
+// TestErrorInBranchIndependentOfFleet checks that a fault in a branch is found
+// whether or not the fleet leads there, so that all nodes refuse the same documents.
+func TestErrorInBranchIndependentOfFleet(t *testing.T) {
 	for _, ready := range []int{0, 5} {
 		_, err := policy.Compile(document(t, `
 if not ready("reservas", at_least=2):
@@ -212,7 +218,7 @@
 	}
 }
 
-// TestReferencePage compiles the programs of the page, so that it stays true.
+// TestReferencePage checks that the examples of the language reference compile.
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/POLICIES.md")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/policy/restrict.go
+++ b/internal/policy/restrict.go
@@ -8,36 +8,36 @@
 	"go.starlark.net/syntax"
 )
 
-// The limits of a program's text.
+// Limits on the source text of a program.
 const (
-	// maxDepth bounds how deep expressions and statements are nested.
+	// maxDepth bounds the nesting of expressions and statements.
 	maxDepth = 64
-	// maxFunctionNodes bounds the expressions in one function, and so the memory
-	// that one call of it takes.
+	// maxFunctionNodes bounds the syntax nodes of one function, and so the memory
+	// that a call of it takes.
 	maxFunctionNodes = 1000
-	// maxStringBytes bounds each string.
+	// maxStringBytes bounds each string, also those built at run time.
 	maxStringBytes = 1024
 )
 
-// restrict checks that the file keeps to the language of policies and replaces
-// operators by calls of guarded ones (operators.go). What is left of Starlark
-// takes a bounded amount of memory and work in each step, except in the guarded
-// operators and builtins, which charge it to the budget.
+// restrict refuses syntax outside the language of policies and replaces operators by
+// calls of guards (operators.go). Each step of the remaining language takes a bounded
+// amount of memory and work, except in guards and builtins, which charge it to the
+// budget.
 func restrict(file *syntax.File) error {
 	restricter := &restricter{}
 	restricter.statements(file.Stmts, scopeFile)
 	return restricter.fault
 }
 
-// restricter walks the syntax tree. It keeps the first fault and then walks on
-// without harm.
+// restricter walks the syntax tree. It keeps the first fault; after that, the rest
+// of the walk has no effect.
 type restricter struct {
 	fault error
 	depth int
 	nodes int
 }
 
-// scope tells where a statement stands.
+// scope is the kind of block that contains a statement.
 type scope uint8
 
 const (
@@ -50,10 +50,10 @@
 	if r.fault != nil {
 		return
 	}
-	r.fault = &positioned{problem: problem{text: fmt.Sprintf(format, arguments...), hint: hint}, position: position}
+	r.fault = &positionedProblem{problem: problem{text: fmt.Sprintf(format, arguments...), hint: hint}, position: position}
 }
 
-// enter counts one level of nesting and one node; it reports whether to go on.
+// enter counts one level of nesting and one node, and reports whether to visit it.
 func (r *restricter) enter(node syntax.Node) bool {
 	r.depth++
 	r.nodes++
@@ -100,22 +100,22 @@
 	case *syntax.LoadStmt:
 		r.refuse(statement.Load, "copy what you need into this policy", "a policy cannot load other files")
 	case *syntax.WhileStmt:
-		r.refuse(statement.While, "use a for loop over a list or range()", "policies have no while loop")
+		r.refuse(statement.While, "use a for loop over a list or range()", "policies do not support while loops")
 	default:
-		r.refuse(syntax.Start(statement), "see "+referencePage, "policies have no such statement")
+		r.refuse(syntax.Start(statement), "see "+referencePage, "policies do not support this statement")
 	}
 }
 
 func (r *restricter) assignment(statement *syntax.AssignStmt) {
 	if statement.Op != syntax.EQ {
-		r.refuse(statement.OpPos, "write it out, such as x = x + 1", "policies have no operator %s", statement.Op)
+		r.refuse(statement.OpPos, "write it out, such as x = x + 1", "policies do not support operator %s", statement.Op)
 		return
 	}
 	r.target(statement.LHS)
 	statement.RHS = r.expression(statement.RHS)
 }
 
-// target checks what a value is assigned to.
+// target checks the target of an assignment.
 func (r *restricter) target(target syntax.Expr) {
 	defer r.leave()
 	if !r.enter(target) {
@@ -134,7 +134,7 @@
 	case *syntax.ListExpr:
 		r.targets(target.List)
 	default:
-		r.refuse(syntax.Start(target), "assign to a name", "a value cannot be assigned to this")
+		r.refuse(syntax.Start(target), "assign to a name", "cannot assign to this expression")
 	}
 }
 
@@ -144,12 +144,12 @@
 	}
 }
 
-// function checks a definition. Functions stand at the top level and have plain
-// parameters, so that they close over nothing and their number is bounded by the
-// text.
+// function checks a function definition. Functions are allowed only at the top level
+// and with plain parameters, so that there are no closures and the text bounds the
+// number of functions.
 func (r *restricter) function(function *syntax.DefStmt, within scope) {
 	if within != scopeFile {
-		r.refuse(function.Def, "move it to the top level", "a function is defined inside of another statement")
+		r.refuse(function.Def, "move it to the top level", "a function is defined inside another statement")
 		return
 	}
 	r.name(function.Name)
@@ -182,14 +182,14 @@
 			return
 		}
 	}
-	r.refuse(syntax.Start(parameter), "use plain parameters with literals as defaults", "policies have no such parameter")
+	r.refuse(syntax.Start(parameter), "use plain parameters with literals as defaults", "policies do not support this kind of parameter")
 }
 
 func isConstant(name string) bool {
 	return name == "None" || name == "True" || name == "False"
 }
 
-// name refuses names of Starlark that are not in the language of policies.
+// name refuses predeclared names of Starlark that policies do not support.
 func (r *restricter) name(identifier *syntax.Ident) {
 	if starlark.Universe.Has(identifier.Name) && !predeclared.Has(identifier.Name) && !isConstant(identifier.Name) {
 		r.refuse(identifier.NamePos, "the names a policy can use are in "+referencePage, "policies cannot use the name %s", identifier.Name)
@@ -200,7 +200,7 @@
 	switch value := literal.Value.(type) {
 	case string:
 		if literal.Token == syntax.BYTES {
-			r.refuse(literal.TokenPos, "write it without the b", "policies have no byte strings")
+			r.refuse(literal.TokenPos, "write it without the b", "policies do not support byte strings")
 		}
 		if len(value) > maxStringBytes {
 			r.refuse(literal.TokenPos, "shorten it", "a string has more than %d bytes", maxStringBytes)
--- a/internal/policy/restrict_expression.go
+++ b/internal/policy/restrict_expression.go
@@ -3,7 +3,7 @@
 import "go.starlark.net/syntax"
 
 // allowedMethods are the methods of strings, lists and dicts that policies may
-// call. Each takes work and memory of a bounded size.
+// call. The work and memory of each are bounded.
 var allowedMethods = map[string]bool{
 	"append":     true,
 	"endswith":   true,
@@ -11,7 +11,7 @@
 	"startswith": true,
 }
 
-// expression checks an expression and returns what stands in its place.
+// expression checks an expression and returns its replacement.
 func (r *restricter) expression(expression syntax.Expr) syntax.Expr {
 	defer r.leave()
 	if !r.enter(expression) {
@@ -45,14 +45,14 @@
 	return expression
 }
 
-// composite handles expressions that build containers, and refuses the rest.
+// composite checks expressions that build containers, and refuses all others.
 func (r *restricter) composite(expression syntax.Expr) syntax.Expr {
 	switch expression := expression.(type) {
 	case *syntax.ListExpr:
 		r.expressions(expression.List)
 	case *syntax.TupleExpr:
-		if len(expression.List) > maxTuple {
-			r.refuse(syntax.Start(expression), "use a list", "a tuple has more than %d elements", maxTuple)
+		if len(expression.List) > maxTupleElements {
+			r.refuse(syntax.Start(expression), "use a list", "a tuple has more than %d elements", maxTupleElements)
 		}
 		r.expressions(expression.List)
 		return guardedCall(guardTuple, syntax.Start(expression), expression.List...)
@@ -63,11 +63,11 @@
 	case *syntax.Comprehension:
 		r.comprehension(expression)
 	case *syntax.LambdaExpr:
-		r.refuse(expression.Lambda, "define a function with def at the top level", "policies have no lambda")
+		r.refuse(expression.Lambda, "define a function with def at the top level", "policies do not support lambda")
 	case *syntax.SliceExpr:
-		r.refuse(expression.Lbrack, "take single elements, or write the part out", "policies have no slices")
+		r.refuse(expression.Lbrack, "use single elements, or write the slice as a literal", "policies do not support slices")
 	default:
-		r.refuse(syntax.Start(expression), "see "+referencePage, "policies have no such expression")
+		r.refuse(syntax.Start(expression), "see "+referencePage, "policies do not support this expression")
 	}
 	return expression
 }
@@ -83,8 +83,8 @@
 	entry.Value = r.expression(entry.Value)
 }
 
-// binary replaces an operator by a call; and and or stay, as they may skip their
-// right side.
+// binary replaces an operator by a call of its guard, except "and" and "or", which
+// may skip the right operand.
 func (r *restricter) binary(expression *syntax.BinaryExpr) syntax.Expr {
 	expression.X = r.expression(expression.X)
 	expression.Y = r.expression(expression.Y)
@@ -92,7 +92,7 @@
 		return expression
 	}
 	if !guardedOperators[expression.Op] {
-		r.refuse(expression.OpPos, "see the operators in "+referencePage, "policies have no operator %s", expression.Op)
+		r.refuse(expression.OpPos, "see the operators in "+referencePage, "policies do not support operator %s", expression.Op)
 		return expression
 	}
 	return guardedCall(expression.Op.String(), expression.OpPos, expression.X, expression.Y)
@@ -100,7 +100,7 @@
 
 func (r *restricter) unary(expression *syntax.UnaryExpr) syntax.Expr {
 	if expression.X == nil || (expression.Op != syntax.NOT && expression.Op != syntax.MINUS) {
-		r.refuse(expression.OpPos, "write the arguments one by one", "policies have no operator %s here", expression.Op)
+		r.refuse(expression.OpPos, "write the arguments one by one", "policies do not support operator %s here", expression.Op)
 		return expression
 	}
 	expression.X = r.expression(expression.X)
@@ -121,7 +121,7 @@
 func (r *restricter) method(expression *syntax.DotExpr) {
 	expression.X = r.expression(expression.X)
 	if !allowedMethods[expression.Name.Name] {
-		r.refuse(expression.NamePos, "the methods a policy can use are in "+referencePage, "policies have no method %s", expression.Name.Name)
+		r.refuse(expression.NamePos, "the methods a policy can use are in "+referencePage, "policies do not support method %s", expression.Name.Name)
 	}
 }
 
@@ -142,14 +142,14 @@
 	comprehension.Body = r.expression(comprehension.Body)
 }
 
-// guardKey wraps the key of a dict or the index of a list.
+// guardKey wraps the key of a dict or the index of a list in a call of its guard.
 func (r *restricter) guardKey(key syntax.Expr) syntax.Expr {
 	start := syntax.Start(key)
 	return guardedCall(guardKey, start, r.expression(key))
 }
 
-// guardedCall calls a guard by a name that no program can spell. The positions
-// are those of what it replaces, for error messages.
+// guardedCall returns a call of a guard, whose name no program can use itself. It has
+// the position of the replaced syntax, for error messages.
 func guardedCall(guard string, position syntax.Position, arguments ...syntax.Expr) syntax.Expr {
 	return &syntax.CallExpr{
 		Fn:     &syntax.Ident{NamePos: position, Name: guard},
--- a/internal/policy/route.go
+++ b/internal/policy/route.go
@@ -10,25 +10,25 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// What a route has unless the policy says otherwise.
+// Defaults of the arguments of route().
 const (
 	DefaultTimeout   = 2 * time.Second
 	DefaultAttempts  = 3
 	DefaultSpillOver = 0.8
 )
 
-// DefaultRepeat are the methods that may run more than once unless the policy
-// says otherwise: those without effects.
-var DefaultRepeat = []string{"GET", "HEAD", "OPTIONS"}
+// DefaultRepeatMethods are the methods whose requests may be sent more than once by
+// default: those without side effects.
+var DefaultRepeatMethods = []string{"GET", "HEAD", "OPTIONS"}
 
-// The limits of one route.
+// Limits of one route.
 const (
 	maxTargets = 16
 	maxHeaders = 8
 	maxLimit   = 100_000
 )
 
-// routeArguments are the arguments of route() as the program gave them.
+// routeArguments holds the unchecked arguments of route().
 type routeArguments struct {
 	name, host, path, timeout string
 	methods, repeat           starlark.Value
@@ -40,46 +40,46 @@
 	limits                    snapshot.Limits
 }
 
-func routeBuiltin(run *execution, given arguments) (starlark.Value, error) {
-	if len(given.positional) > 0 {
+func routeBuiltin(run *execution, args arguments) (starlark.Value, error) {
+	if len(args.positional) > 0 {
 		return nil, problemf(`write route(name="...", to="...")`, "route() takes named arguments only")
 	}
-	stated := routeArguments{attempts: DefaultAttempts, preferZone: true}
-	err := given.unpack(
-		"name", &stated.name, "to", &stated.to,
-		"host?", &stated.host, "path?", &stated.path, "methods?", &stated.methods, "headers?", &stated.headers,
-		"timeout?", &stated.timeout, "repeat?", &stated.repeat, "attempts?", &stated.attempts,
-		"prefer_zone?", &stated.preferZone, "spill_over?", &stated.spillOver,
-		"max_in_flight?", &stated.limits.MaxInFlight, "max_queued?", &stated.limits.MaxQueued,
-		"secrets?", &stated.secrets,
+	unchecked := routeArguments{attempts: DefaultAttempts, preferZone: true}
+	err := args.unpack(
+		"name", &unchecked.name, "to", &unchecked.to,
+		"host?", &unchecked.host, "path?", &unchecked.path, "methods?", &unchecked.methods, "headers?", &unchecked.headers,
+		"timeout?", &unchecked.timeout, "repeat?", &unchecked.repeat, "attempts?", &unchecked.attempts,
+		"prefer_zone?", &unchecked.preferZone, "spill_over?", &unchecked.spillOver,
+		"max_in_flight?", &unchecked.limits.MaxInFlight, "max_queued?", &unchecked.limits.MaxQueued,
+		"secrets?", &unchecked.secrets,
 	)
 	if err != nil {
 		return nil, err
 	}
-	route, err := stated.route(run)
+	route, err := unchecked.route(run)
 	if err != nil {
 		return nil, err
 	}
 	return starlark.None, run.addRoute(route)
 }
 
-// addRoute takes a checked route into the result.
+// addRoute adds a checked route to the variant.
 func (r *execution) addRoute(route snapshot.Route) error {
-	if first, taken := r.names[route.Name]; taken {
-		return problemf("give each route of a policy its own name", "route %q is already stated in line %d", route.Name, first.Line)
+	if first, taken := r.routeNames[route.Name]; taken {
+		return problemf("give each route of a policy its own name", "route %q is already defined in line %d", route.Name, first.Line)
 	}
-	if len(r.result.routes) >= MaxRoutes {
-		return problemf("join routes with shorter path prefixes", "the policy states more than %d routes", MaxRoutes)
+	if len(r.variant.routes) >= MaxRoutes {
+		return problemf("merge routes by using shorter path prefixes", "the policy defines more than %d routes", MaxRoutes)
 	}
 	if err := r.compiler.budget.chargeMemory(routeBytes); err != nil {
 		return err
 	}
-	r.names[route.Name] = r.caller()
-	r.result.routes = append(r.result.routes, route)
+	r.routeNames[route.Name] = r.caller()
+	r.variant.routes = append(r.variant.routes, route)
 	return nil
 }
 
-// route checks the arguments and returns the route they state.
+// route checks the arguments and returns the route they describe.
 func (a *routeArguments) route(run *execution) (snapshot.Route, error) {
 	route := snapshot.Route{MaxAttempts: a.attempts, PreferZone: a.preferZone, Limits: a.limits}
 	for _, step := range []func(*execution, *snapshot.Route) error{
@@ -94,7 +94,7 @@
 
 func (a *routeArguments) setName(run *execution, route *snapshot.Route) error {
 	if !isRouteName(a.name) {
-		return problemf(`use a name such as "book-journey"`, "the route's name %q is not 1 to %d letters, digits, '.', '_' and '-'", shorten(a.name), snapshot.MaxNameBytes)
+		return problemf(`use a name such as "book-journey"`, "the route's name %q is not 1 to %d letters, digits, '.', '_' and '-'", truncate(a.name), snapshot.MaxNameBytes)
 	}
 	route.Name = routePrefix(run.policy) + a.name
 	return nil
@@ -108,11 +108,11 @@
 	if err := checkPath(a.path); err != nil {
 		return err
 	}
-	methods, err := checkMethods("methods", a.methods)
+	methods, err := parseMethods("methods", a.methods)
 	if err != nil {
 		return err
 	}
-	headers, err := checkMatchHeaders(a.headers)
+	headers, err := parseMatchHeaders(a.headers)
 	if err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 		return problemf("name a service in to=", "a route has %d targets, want 1 to %d", len(targets), maxTargets)
 	}
 	for _, value := range targets {
-		target, err := run.targetOf(value)
+		target, err := run.parseTarget(value)
 		if err != nil {
 			return err
 		}
@@ -141,15 +141,15 @@
 	return nil
 }
 
-// targetOf reads one element of to=: a service's name or a target().
-func (r *execution) targetOf(value starlark.Value) (snapshot.WeightedService, error) {
+// parseTarget converts one element of to=: a service name or a target().
+func (r *execution) parseTarget(value starlark.Value) (snapshot.WeightedService, error) {
 	switch value := value.(type) {
 	case targetValue:
 		return value.target, nil
 	case starlark.String:
 		return snapshot.WeightedService{Service: string(value), Weight: 1}, r.checkService(string(value))
 	default:
-		return snapshot.WeightedService{}, problemf(`write to="service" or to=[target("a", weight=9), target("b")]`, "to= does not take a value of type %s", value.Type())
+		return snapshot.WeightedService{}, problemf(`write to="service" or to=[target("a", weight=9), target("b")]`, "to= does not accept a value of type %s", value.Type())
 	}
 }
 
@@ -160,36 +160,36 @@
 	}
 	timeout, err := time.ParseDuration(a.timeout)
 	if err != nil {
-		return problemf(`write it as "500ms", "2s" or "1m"`, "timeout %q is not a duration", shorten(a.timeout))
+		return problemf(`write it as "500ms", "2s" or "1m"`, "timeout %q is not a duration", truncate(a.timeout))
 	}
 	if timeout < snapshot.MinRouteTimeout || timeout > snapshot.MaxRouteTimeout {
-		return problemf("choose one within", "timeout %s is not between %s and %s", timeout, snapshot.MinRouteTimeout, snapshot.MaxRouteTimeout)
+		return problemf("use a timeout in this range", "timeout %s is not between %s and %s", timeout, snapshot.MinRouteTimeout, snapshot.MaxRouteTimeout)
 	}
 	route.Timeout = timeout
 	return nil
 }
 
-// setRepeat keeps the default to the methods that the route takes; a stated
-// method that it never takes is a mistake.
+// setRepeat reduces the default to the methods that the route matches. In repeat=, a
+// method that the route does not match is an error.
 func (a *routeArguments) setRepeat(_ *execution, route *snapshot.Route) error {
-	takes := func(method string) bool {
+	matches := func(method string) bool {
 		return len(route.Match.Methods) == 0 || slices.Contains(route.Match.Methods, method)
 	}
 	if a.repeat == nil || a.repeat == starlark.None {
-		for _, method := range DefaultRepeat {
-			if takes(method) {
+		for _, method := range DefaultRepeatMethods {
+			if matches(method) {
 				route.RepeatMethods = append(route.RepeatMethods, method)
 			}
 		}
 		return nil
 	}
-	methods, err := checkMethods("repeat", a.repeat)
+	methods, err := parseMethods("repeat", a.repeat)
 	if err != nil {
 		return err
 	}
 	for _, method := range methods {
-		if !takes(method) {
-			return problemf("add it to methods=, or leave it out of repeat=", "repeat= has %s, which the route does not take", method)
+		if !matches(method) {
+			return problemf("add it to methods=, or remove it from repeat=", "repeat= contains %s, which the route does not match", method)
 		}
 	}
 	route.RepeatMethods = methods
@@ -199,7 +199,7 @@
 func (a *routeArguments) setSpillOver(_ *execution, route *snapshot.Route) error {
 	if !a.preferZone {
 		if a.spillOver != nil {
-			return problemf("leave spill_over= out", "spill_over= has no meaning with prefer_zone=False")
+			return problemf("remove spill_over=", "spill_over= has no effect with prefer_zone=False")
 		}
 		return nil
 	}
@@ -220,31 +220,31 @@
 		return nil
 	}
 	for value := range a.secrets.Elements() {
-		attached, ok := value.(secretHeaderValue)
+		secret, ok := value.(secretHeaderValue)
 		if !ok {
-			return problemf(`write secrets=[secret_header(header="Authorization", secret="name")]`, "secrets= does not take a value of type %s", value.Type())
+			return problemf(`write secrets=[secret_header(header="Authorization", secret="name")]`, "secrets= does not accept a value of type %s", value.Type())
 		}
-		if slices.ContainsFunc(route.Secrets, func(other snapshot.SecretHeader) bool { return other.Header == attached.header.Header }) {
-			return problemf("attach one secret to a header", "header %s is set twice", attached.header.Header)
+		if slices.ContainsFunc(route.Secrets, func(other snapshot.SecretHeader) bool { return other.Header == secret.header.Header }) {
+			return problemf("attach one secret to a header", "header %s is set twice", secret.header.Header)
 		}
 		if len(route.Secrets) >= maxHeaders {
 			return problemf("attach fewer", "a route has more than %d secrets", maxHeaders)
 		}
-		route.Secrets = append(route.Secrets, attached.header)
+		route.Secrets = append(route.Secrets, secret.header)
 	}
 	return nil
 }
 
 func (a *routeArguments) checkLimits(*execution, *snapshot.Route) error {
 	if a.attempts < 1 || a.attempts > snapshot.MaxRouteAttempts {
-		return problemf("1 sends a request once", "attempts %d is not between 1 and %d", a.attempts, snapshot.MaxRouteAttempts)
+		return problemf("use 1 to send each request at most once", "attempts %d is not between 1 and %d", a.attempts, snapshot.MaxRouteAttempts)
 	}
 	for _, limit := range []struct {
 		name  string
 		value int
 	}{{"max_in_flight", a.limits.MaxInFlight}, {"max_queued", a.limits.MaxQueued}} {
 		if limit.value < 0 || limit.value > maxLimit {
-			return problemf("0 sets no limit of its own", "%s %d is not between 0 and %d", limit.name, limit.value, maxLimit)
+			return problemf("use 0 for a route without a limit of its own", "%s %d is not between 0 and %d", limit.name, limit.value, maxLimit)
 		}
 	}
 	return nil
