--- a/internal/distribution/adopt.go
+++ b/internal/distribution/adopt.go
@@ -6,6 +6,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
+// adoptNext hands the waiting document to the Adopter unless one is being adopted.
 func (e *Engine) adoptNext() {
 	if e.push.adopting != nil || e.push.waiting == nil {
 		return
@@ -30,18 +31,18 @@
 	e.startPulls()
 }
 
-// adopted puts a document in force and announces it to the peers that are not
-// known to hold it.
+// adopted records that a document is in force and announces it to the peers that are
+// not known to hold it.
 func (e *Engine) adopted(document *snapshot.Document) {
 	version := document.Version()
 	e.push.held = document
 	e.push.recent = append(e.push.recent, document)
-	if len(e.push.recent) > keptDocuments {
+	if len(e.push.recent) > maxRecentDocuments {
 		e.push.recent = slices.Delete(e.push.recent, 0, 1)
 	}
 	clear(e.push.updates)
 	clear(e.push.attempts)
 	e.push.refusals.forgetPassedOn(version)
-	e.log(LogInfo, "version %s is in force, from %s", version, e.push.adoptingFrom)
+	e.log(LogInfo, "version %s is in force, received from %s", version, e.push.adoptingFrom)
 	e.announce()
 }
--- a/internal/distribution/currentsource_test.go
+++ b/internal/distribution/currentsource_test.go
@@ -10,12 +10,11 @@
 	"github.com/winchhead/winchhead/internal/distribution/simulation"
 )
 
-// TestSourceReturnsAfterSilence: while the source said nothing, several readers of
-// a zone took over from each other. Once it answers again, and they hand reading
-// back, none of them keeps what it learned to itself. Found by a hunt
-// (hunt-37d4-27): a version was in force 2.5 s after the source's answer. However long
-// the silence was, polls that were lost in it do not hold up the return.
-func TestSourceReturnsAfterSilence(t *testing.T) {
+// TestChangeAfterSourceOutage checks that a change is in force in time once the source answers
+// again after any length of silence. During the silence, readers of a zone take over from each
+// other. When they hand reading back, a reader that kept a new version to itself delayed it for
+// 2.5 s after the source's answer, and lost polls must not delay the next one.
+func TestChangeAfterSourceOutage(t *testing.T) {
 	const inForceWithin = time.Second
 	const seeds = 15
 	for silence := 4500 * time.Millisecond; silence <= 8*time.Second; silence += 500 * time.Millisecond {
@@ -36,16 +35,17 @@
 	}
 }
 
-// TestFewPollsAtStart: in a fleet that starts together, the lists that nodes read name
-// few others. They do not all read the source on until the links have told them of the
-// rest. Measured on 28 machines: 7 polls a node in the first two seconds.
-func TestFewPollsAtStart(t *testing.T) {
+// TestPollCountAtFleetStart checks that the nodes of a fleet that starts together do not all
+// keep polling the source. The lists they read at first name few others, so that each takes
+// itself for a reader until it hears of the rest over its links: 28 machines sent 7 polls each
+// in the first two seconds.
+func TestPollCountAtFleetStart(t *testing.T) {
 	const (
 		nodes      = 60
-		apart      = 20 * time.Millisecond // between two starts, as instances register
-		firstPolls = 3                     // of a node at its start: the first version, a little after it
+		apart      = 20 * time.Millisecond // between two starts, while instances register
+		firstPolls = 3                     // per node at its start: for the first version, and shortly after it
 		polled     = 4 * time.Second
-		stillPolls = 3 // a reader in that time, while nothing changes
+		stillPolls = 3 // per reader in that time, while nothing changes
 	)
 	for seed := range uint64(5) {
 		c := qt.New(t)
@@ -58,7 +58,7 @@
 		for i := range nodes {
 			s.Start(machine(i), nil)
 			s.Run(apart)
-			s.publish() // its instance's entry
+			s.publish() // the entry of its instance
 		}
 		s.Run(polled)
 		c.Check(s.Platform.Polls() <= nodes*firstPolls+zones*stillPolls, qt.IsTrue, qt.Commentf("seed %d: %d polls", seed, s.Platform.Polls()))
--- a/internal/distribution/engine.go
+++ b/internal/distribution/engine.go
@@ -17,7 +17,7 @@
 	DefaultMaxLinks       = 12
 )
 
-// EngineOptions sets up an Engine.
+// EngineOptions configures an Engine.
 type EngineOptions struct {
 	Self membership.Record
 	// Seed makes the engine's random choices repeatable.
@@ -28,14 +28,14 @@
 	ReadersPerZone int
 	// MaxLinks bounds the ordinary links; zero takes the default.
 	MaxLinks int
-	// SourceIsCurrent says that the source never serves an older revision than one
-	// it served before, to whomever: a node that holds nothing reads it at once.
+	// SourceIsCurrent says that the source never serves a revision older than any it
+	// has served before, to any client. A node that holds nothing then reads it at once.
 	SourceIsCurrent bool
 }
 
-// Engine decides for one node which version to adopt, whom to link to, what to
-// send and whether to read the source. It is a state machine: Handle takes an
-// event and returns actions. It is for one goroutine.
+// Engine decides for one node which version to adopt, which peers to link to, what to
+// send and whether to read the source. It is a state machine without I/O: Handle takes
+// an event and returns actions. It is not safe for concurrent use.
 type Engine struct {
 	options EngineOptions
 	timing  Timing
@@ -49,7 +49,7 @@
 	view    *membership.View
 	ranking ranking
 	fleet   fleetState
-	list    listBook
+	list    listReplica
 	outbox  outbox
 	overlay overlay
 	push    pushState
@@ -61,7 +61,7 @@
 	changes changeBook
 }
 
-// NewEngine returns an engine that knows only itself.
+// NewEngine returns an engine that knows no node but its own.
 func NewEngine(options EngineOptions) *Engine {
 	if options.ReadersPerZone <= 0 {
 		options.ReadersPerZone = DefaultReadersPerZone
@@ -77,7 +77,7 @@
 		table:   table,
 		view:    table.View(),
 		fleet:   fleetState{published: table.Self()},
-		list:    newListBook(),
+		list:    newListReplica(),
 		outbox:  newOutbox(),
 		overlay: newOverlay(),
 		push:    newPushState(),
@@ -86,8 +86,8 @@
 	}
 }
 
-// Handle takes an event that happened at now and returns what to do. Its caller
-// then arranges for a Tick at NextWake.
+// Handle processes an event that happened at now and returns the resulting actions. The
+// caller then has to deliver a Tick at NextWake.
 func (e *Engine) Handle(now time.Time, event Event) []Action {
 	if e.stopped {
 		return nil
@@ -104,16 +104,16 @@
 	return actions
 }
 
-// NextWake returns when the engine wants a Tick.
+// NextWake returns when the engine needs its next Tick.
 func (e *Engine) NextWake() time.Time { return e.wakeAt }
 
-// hasLink reports whether the engine counts on a link.
+// hasLink reports whether the engine knows a link.
 func (e *Engine) hasLink(id LinkID) bool { return e.overlay.links[id] != nil }
 
-// View returns the current picture of the fleet.
+// View returns the current view of the fleet.
 func (e *Engine) View() *membership.View { return e.view }
 
-// Held returns the version in force, zero if there is none.
+// Held returns the version in force, or the zero version if there is none.
 func (e *Engine) Held() snapshot.Version { return e.push.heldVersion() }
 
 func (Tick) apply(*Engine) {}
@@ -139,7 +139,7 @@
 	e.stopped = true
 }
 
-// runTimers does all that is due and works out the next time to wake.
+// runTimers does everything that is due and computes the next wake-up time.
 func (e *Engine) runTimers() {
 	e.runFleetTimers()
 	e.endRecheck()
@@ -149,12 +149,12 @@
 	e.runReadingTimers()
 	e.runMembersTimers()
 	e.runRecordTimers()
-	e.wakeAt = e.nextWake()
+	e.wakeAt = e.earliestDeadline()
 }
 
-// nextWake returns the earliest of all deadlines. None is farther away than the
-// next look for outdated records.
-func (e *Engine) nextWake() time.Time {
+// earliestDeadline returns the earliest of all deadlines. The next check for expired records is
+// always scheduled, so there is always a deadline.
+func (e *Engine) earliestDeadline() time.Time {
 	wake := e.fleet.expireAt
 	earlier := func(at time.Time) {
 		if !at.IsZero() && at.Before(wake) {
@@ -175,7 +175,7 @@
 	return wake
 }
 
-// passed reports whether a deadline is set and reached.
+// passed reports whether a deadline is set and has been reached.
 func (e *Engine) passed(deadline time.Time) bool {
 	return !deadline.IsZero() && !e.now.Before(deadline)
 }
@@ -186,7 +186,7 @@
 	e.act(Log{Level: level, Text: fmt.Sprintf(format, arguments...)})
 }
 
-// send encodes a message once and sends it on links.
+// send encodes a message once and sends it on all the links.
 func (e *Engine) send(message wire.Message, links ...LinkID) {
 	if len(links) == 0 {
 		return
@@ -207,14 +207,14 @@
 	e.act(Send{Links: links, Type: messageType, Frame: frame})
 }
 
-// jittered returns a random duration of 0.8 to 1.2 times the mean.
+// jittered returns a random duration between 0.8 and 1.2 times the mean.
 func (e *Engine) jittered(mean time.Duration) time.Duration {
 	const spread = 0.4
 	return time.Duration(float64(mean) * (1 - spread/2 + spread*e.random.Float64()))
 }
 
-// backoff returns a random delay below twice a mean that doubles with each
-// failure from low up to high (full jitter), but not below a tenth of the mean.
+// backoff returns a random delay between 0.1 and 2.1 times a mean. The mean starts at low
+// and doubles with each failure, up to high.
 func (e *Engine) backoff(failures int, low, high time.Duration) time.Duration {
 	const maxDoublings = 16
 	mean := low << min(max(failures-1, 0), maxDoublings)
--- a/internal/distribution/engine_test.go
+++ b/internal/distribution/engine_test.go
@@ -12,7 +12,7 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// driver feeds one engine by hand and keeps its last action of each type.
+// driver passes events to one engine and keeps its last action of each type.
 type driver struct {
 	engine *distribution.Engine
 	now    time.Time
@@ -50,7 +50,7 @@
 	}
 }
 
-// run ticks the engine as it asks for.
+// run delivers a Tick whenever the engine asks for one.
 func (d *driver) run(duration time.Duration) {
 	end := d.now.Add(duration)
 	for d.engine.NextWake().Before(end) {
@@ -60,7 +60,7 @@
 	d.now = end
 }
 
-var answeredWell = source.Outcome{Status: source.StatusFresh}
+var okOutcome = source.Outcome{Status: source.StatusFresh}
 
 func listed(nodes ...membership.NodeID) (members []membership.ListedMember) {
 	for _, node := range nodes {
@@ -70,32 +70,34 @@
 	return members
 }
 
-// A node that holds nothing stops reading when it learns of a peer. The fetch
-// that this cuts off has to be made up for once the peer proves unreachable.
-func TestFetchCutOffIsMadeUpFor(t *testing.T) {
+// TestCancelledFetchIsRepeated checks that a fetch which was cancelled is repeated. A node that
+// holds nothing stops reading when it learns of a peer, and has to fetch again once the peer
+// turns out to be unreachable.
+func TestCancelledFetchIsRepeated(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver()
 	d.handle(distribution.Tick{})
-	d.handle(distribution.MembersListed{Request: d.list.Request, Members: listed("self"), ETag: "1", Outcome: answeredWell})
+	d.handle(distribution.MembersListed{Request: d.list.Request, Members: listed("self"), ETag: "1", Outcome: okOutcome})
 	d.run(2 * time.Second)
 	c.Assert(d.await.Request, qt.Not(qt.Equals), distribution.RequestID(0))
 	version := document(2).Version()
-	d.handle(distribution.SourceRevision{Request: d.await.Request, Version: version, Outcome: answeredWell})
+	d.handle(distribution.SourceRevision{Request: d.await.Request, Version: version, Outcome: okOutcome})
 	c.Assert(d.fetch.Request, qt.Not(qt.Equals), distribution.RequestID(0))
-	d.handle(distribution.MembersListed{Request: d.list.Request, Members: listed("self", "peer"), ETag: "2", Outcome: answeredWell})
+	d.handle(distribution.MembersListed{Request: d.list.Request, Members: listed("self", "peer"), ETag: "2", Outcome: okOutcome})
 	d.run(time.Second)
 	c.Assert(d.dial.Node, qt.Equals, membership.NodeID("peer"))
 	d.handle(distribution.DialFailed{Link: d.dial.Link})
 	d.run(5 * time.Second)
-	d.handle(distribution.SourceRevision{Request: d.await.Request, Version: version, Outcome: answeredWell})
+	d.handle(distribution.SourceRevision{Request: d.await.Request, Version: version, Outcome: okOutcome})
 	d.run(time.Second)
-	d.handle(distribution.SourceDocument{Request: d.fetch.Request, Document: document(2), Outcome: answeredWell})
+	d.handle(distribution.SourceDocument{Request: d.fetch.Request, Document: document(2), Outcome: okOutcome})
 	d.handle(distribution.AdoptResult{Version: version})
 	c.Assert(d.engine.Held(), qt.Equals, version)
 }
 
-// One dial without answer may be for want of processor time, here or there: it is
-// no proof against a peer, and none counts while this process runs late.
+// TestSuspicionNeedsEvidence checks which failed dials make a member suspected. A single
+// unanswered dial may be due to a lack of CPU time at either end, and no unanswered dial counts
+// while this process is late.
 func TestSuspicionNeedsEvidence(t *testing.T) {
 	const late = 500 * time.Millisecond
 	cases := []struct {
@@ -108,7 +110,7 @@
 		{name: "one dial is refused", refused: true, failures: 1, suspected: true},
 		{name: "one dial is not answered", failures: 1},
 		{name: "two dials are not answered", failures: 2, suspected: true},
-		{name: "two dials are not answered by a late process", late: late, failures: 2},
+		{name: "two dials are not answered while the process is late", late: late, failures: 2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -127,7 +129,7 @@
 					d.handle(distribution.Tick{})
 				}
 				dialled = d.dial.Link
-				if test.late > 0 { // after the moment for which the engine asked to be woken
+				if test.late > 0 { // later than the engine asked to be woken
 					d.now = d.engine.NextWake().Add(test.late)
 				}
 				d.handle(distribution.DialFailed{Link: dialled, Refused: test.refused})
@@ -139,13 +141,13 @@
 	}
 }
 
-// TestReaderThatIsTurnedAwayResigns: the platform may turn one node away and serve the
-// others, so a reader that gets only refusals for two seconds lets another read.
-func TestReaderThatIsTurnedAwayResigns(t *testing.T) {
+// TestRefusedReaderResigns checks that a reader that is only refused for two seconds resigns, so
+// that another node reads: the platform may refuse one node and serve the others.
+func TestRefusedReaderResigns(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver()
 	d.handle(distribution.Tick{})
-	d.handle(distribution.MembersListed{Request: d.list.Request, Members: listed("self"), ETag: "1", Outcome: answeredWell})
+	d.handle(distribution.MembersListed{Request: d.list.Request, Members: listed("self"), ETag: "1", Outcome: okOutcome})
 	d.run(2 * time.Second)
 	c.Assert(d.await.Request, qt.Not(qt.Equals), distribution.RequestID(0))
 	answered := distribution.RequestID(0)
--- a/internal/distribution/faults_test.go
+++ b/internal/distribution/faults_test.go
@@ -61,7 +61,7 @@
 func inZone(m *simulation.Machine) bool   { return m.Zone == "zone-1" }
 func inRegion(m *simulation.Machine) bool { return m.Region == "region-1" }
 
-// between cuts the machines that a condition selects off from the others.
+// between cuts the selected machines off from the others.
 func between(selected func(*simulation.Machine) bool) func(a, b *simulation.Machine) bool {
 	return func(a, b *simulation.Machine) bool { return selected(a) != selected(b) }
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// reconciled waits until no running machine is suspected or unknown anywhere.
-func (s *scenario) reconciled(limit time.Duration) {
+// viewsConverged waits until every running machine is known and not suspected at all others.
+func (s *scenario) viewsConverged(limit time.Duration) {
 	s.c.Helper()
 	s.c.Assert(s.RunUntil(limit, s.viewsAgree), qt.IsTrue, qt.Commentf("views differ after the fault"))
 }
@@ -116,22 +116,23 @@
 	return names
 }
 
-func (s *scenario) each(step int, do func(membership.NodeID)) {
+// everyNth calls a function for every step-th machine.
+func (s *scenario) everyNth(step int, do func(membership.NodeID)) {
 	for i := 0; i < machines; i += step {
 		do(machine(i).Name)
 	}
 }
 
-func (s *scenario) killHalf()    { s.each(2, s.Kill) }
-func (s *scenario) restartHalf() { s.each(2, s.Restart) }
+func (s *scenario) killHalf()    { s.everyNth(2, s.Kill) }
+func (s *scenario) restartHalf() { s.everyNth(2, s.Restart) }
 
-// rewritten is an engine whose frames are changed on their way out.
-type rewritten struct {
+// tamperingEngine is an engine whose outgoing frames are changed.
+type tamperingEngine struct {
 	*distribution.Engine
 	rewrite func(distribution.Send) distribution.Send
 }
 
-func (r rewritten) Handle(now time.Time, event distribution.Event) []distribution.Action {
+func (r tamperingEngine) Handle(now time.Time, event distribution.Event) []distribution.Action {
 	actions := r.Engine.Handle(now, event)
 	for i, action := range actions {
 		if send, ok := action.(distribution.Send); ok {
@@ -141,13 +142,13 @@
 	return actions
 }
 
-// lying makes one node in six change what it sends.
-func lying(rewrite func(distribution.Send) distribution.Send) func(int) func(*distribution.Engine) simulation.Participant {
+// tampering makes one node in six change the frames that it sends.
+func tampering(rewrite func(distribution.Send) distribution.Send) func(int) func(*distribution.Engine) simulation.Participant {
 	return func(i int) func(*distribution.Engine) simulation.Participant {
 		if i%6 != 5 {
 			return nil
 		}
-		return func(engine *distribution.Engine) simulation.Participant { return rewritten{engine, rewrite} }
+		return func(engine *distribution.Engine) simulation.Participant { return tamperingEngine{engine, rewrite} }
 	}
 }
 
@@ -159,7 +160,7 @@
 	return distribution.Send{Type: message.Type(), Frame: frame}
 }
 
-// sendGarbage replaces records by bytes that are no message.
+// sendGarbage replaces frames by bytes that cannot be decoded.
 func sendGarbage(send distribution.Send) distribution.Send {
 	if send.Type == wire.TypeRecords || send.Type == wire.TypeUpdateWithOrigin {
 		send.Frame = []byte{3, byte(send.Type), 0xff, 0xff}
@@ -167,8 +168,9 @@
 	return send
 }
 
-// sendHuge announces a revision that was never published, with other content.
-func sendHuge(send distribution.Send) distribution.Send {
+// sendUnpublished announces a very high revision that was never published, and sends other
+// content for it.
+func sendUnpublished(send distribution.Send) distribution.Send {
 	huge := snapshot.Version{Revision: 1 << 50, Hash: snapshot.ContentHash{1}}
 	var lie distribution.Send
 	switch send.Type {
@@ -243,11 +245,11 @@
 			s.converged(time.Second)
 			s.adopted = nil
 			s.Platform.SetStale(old)
-			for i := range machines - 2 { // two hold the new revision
+			for i := range machines - 2 { // two keep the new revision
 				s.Kill(machine(i).Name)
 			}
 			s.Run(5 * time.Second)
-			s.each(1, s.Restart)
+			s.everyNth(1, s.Restart)
 			s.converged(healedWithin)
 			for _, version := range s.adopted {
 				s.c.Assert(version, qt.Equals, s.latest.Version())
@@ -267,7 +269,7 @@
 				s.Cut(nil)
 				s.converged(healedWithin)
 				s.Platform.SetUnheard(nil)
-				s.reconciled(time.Minute)
+				s.viewsConverged(time.Minute)
 			}
 		},
 	}, {
@@ -282,15 +284,15 @@
 			s.Platform.SetUnheard(nil)
 		},
 	}, {
-		name: "a third of the nodes sleep and wake during a change",
+		name: "a third of the nodes are suspended and resume during a change",
 		run: func(s *scenario) {
-			s.each(3, func(name membership.NodeID) { s.Pause(name, 30*time.Second) })
+			s.everyNth(3, func(name membership.NodeID) { s.Pause(name, 30*time.Second) })
 			s.Run(30*time.Second - 5*time.Millisecond)
 			s.publish()
 			s.converged(healedWithin)
 		},
 	}, {
-		name:    "updates cross and arrive twice",
+		name:    "updates overlap and arrive twice",
 		options: simulation.Options{Duplicates: 0.3},
 		run: func(s *scenario) {
 			for range 30 {
@@ -300,7 +302,7 @@
 			s.converged(healedWithin)
 		},
 	}, {
-		name: "a peer does not take what is sent to it",
+		name: "a peer does not read what is sent to it",
 		run: func(s *scenario) {
 			s.SetSlow(machine(3).Name, true)
 			for range 60 {
@@ -315,14 +317,14 @@
 		},
 	}, {
 		name: "peers send garbage",
-		wrap: lying(sendGarbage),
+		wrap: tampering(sendGarbage),
 		run: func(s *scenario) {
 			s.publish()
 			s.converged(healedWithin)
 		},
 	}, {
-		name: "peers claim a huge revision with bad content",
-		wrap: lying(sendHuge),
+		name: "peers announce an unpublished revision with wrong content",
+		wrap: tampering(sendUnpublished),
 		run: func(s *scenario) {
 			for range 5 {
 				s.publish()
@@ -349,9 +351,9 @@
 	}, {
 		name: "the whole fleet restarts together",
 		run: func(s *scenario) {
-			s.each(1, s.Kill)
+			s.everyNth(1, s.Kill)
 			s.Run(time.Second)
-			s.each(1, s.Restart)
+			s.everyNth(1, s.Restart)
 		},
 	}, {
 		name: "a refused revision is followed by a good one",
@@ -359,8 +361,8 @@
 			s.Platform.Publish(document(s.revision+1, "broken"), "broken:1: does not compile")
 			s.revision++
 			s.Run(3 * time.Second)
-			s.converged(0) // the last good one stays
-			s.each(1, func(name membership.NodeID) {
+			s.converged(0) // the last accepted revision stays in force
+			s.everyNth(1, func(name membership.NodeID) {
 				status := s.Engine(name).Status()
 				s.c.Assert(status.Refused.Revision, qt.Equals, s.revision)
 				s.c.Assert(status.Reason, qt.Contains, "does not compile")
@@ -389,7 +391,7 @@
 				test.run(s)
 				s.converged(healedWithin)
 				if test.wrap == nil {
-					s.reconciled(time.Minute)
+					s.viewsConverged(time.Minute)
 				}
 				s.c.Assert(s.Broken(), qt.HasLen, 0)
 			}
--- a/internal/distribution/freshness_test.go
+++ b/internal/distribution/freshness_test.go
@@ -29,7 +29,7 @@
 	return newFreshnessFleetOn(nodes, seed, 0)
 }
 
-// newFreshnessFleetOn is newFreshnessFleet on links of a rate in bytes a second.
+// newFreshnessFleetOn is newFreshnessFleet with links of a given bandwidth in bytes per second.
 func newFreshnessFleetOn(nodes int, seed uint64, linkRate int64) *freshnessFleet {
 	f := &freshnessFleet{Fleet: simulation.New(simulation.Options{
 		Seed: seed, Timing: distribution.DefaultTiming().ForCurrentSource(), ReadersPerZone: 1, SourceIsCurrent: true,
@@ -51,31 +51,32 @@
 	f.Platform.Publish(f.latest, "")
 }
 
-// treatFirst treats the first nodes of each zone that read from now on, so many of each.
-func (f *freshnessFleet) treatFirst(ofEach int, treatment simulation.Treatment) {
-	treated := make(map[membership.NodeID]bool)
+// setBehaviorOfFirst sets the behavior of the platform for the first nodes of each zone that
+// read from now on, ofEach of them.
+func (f *freshnessFleet) setBehaviorOfFirst(ofEach int, behavior simulation.Behavior) {
+	affected := make(map[membership.NodeID]bool)
 	perZone := make(map[string]int)
-	treat := func(m *simulation.Machine) {
-		if !treated[m.Name] && perZone[m.Zone] < ofEach {
-			treated[m.Name] = true
+	markAffected := func(m *simulation.Machine) {
+		if !affected[m.Name] && perZone[m.Zone] < ofEach {
+			affected[m.Name] = true
 			perZone[m.Zone]++
 		}
 	}
 	for _, name := range f.Machines() {
 		if f.Engine(name).Status().Reader {
-			treat(f.Machine(name))
+			markAffected(f.Machine(name))
 		}
 	}
-	f.Platform.SetTreatment(func(m *simulation.Machine) simulation.Treatment {
-		treat(m)
-		if treated[m.Name] {
-			return treatment
+	f.Platform.SetBehavior(func(m *simulation.Machine) simulation.Behavior {
+		markAffected(m)
+		if affected[m.Name] {
+			return behavior
 		}
-		return simulation.Treatment{}
+		return simulation.Behavior{}
 	})
 }
 
-// inForce publishes a change and returns how long it takes until all nodes have it in force.
+// inForce publishes a change and returns how long it takes to be in force at all nodes.
 func (f *freshnessFleet) inForce(c *qt.C) time.Duration {
 	const givenUp = 30 * time.Second
 	f.publish()
@@ -85,22 +86,20 @@
 	return f.Now() - began
 }
 
-// TestChangesInForceWhileReadersFail: the source may fail just those that read it, in any way
-// and in all zones at once, while all other nodes could read it. Changes are in force in time
-// all the same. Found in virtual time when a fleet had stood still: readers that were asked to
-// come back after 5 s kept their turn, and a change took 2.9 s in the mean and 4.8 s at worst
-// (74 nodes, 40 seeds).
+// TestChangesInForceWhileReadersFail checks that changes are in force in time although the source
+// fails the readers of all zones at once, in any way, while all other nodes could read it. When
+// readers that were told to retry after 5 s did not resign, a change took 2.9 s in the mean and
+// 4.8 s at worst (74 nodes, 40 seeds).
 func TestChangesInForceWhileReadersFail(t *testing.T) {
 	const (
-		// within is the users' shortest bound of 2 s with room for what takes time on real
-		// machines.
+		// within is the required 2 s less a margin for real machines.
 		within = 1500 * time.Millisecond
 		seeds  = 6
 	)
 	for _, nodes := range []int{13, 80, 300} {
-		for name, treatment := range sourceTreatments() {
-			if treatment.Behind != nil {
-				continue // where all zones are served old answers, nobody can tell
+		for name, behavior := range sourceFaults() {
+			if behavior.Stale != nil {
+				continue // no node can detect stale answers that all zones get
 			}
 			for ofEach := 1; ofEach <= 2; ofEach++ {
 				t.Run(fmt.Sprintf("%d nodes, %s, first %d of each zone", nodes, name, ofEach), func(t *testing.T) {
@@ -109,7 +108,7 @@
 					var worst time.Duration
 					for seed := range uint64(max(1, seeds*13/nodes)) {
 						f := newFreshnessFleet(nodes, seed)
-						f.treatFirst(ofEach, treatment)
+						f.setBehaviorOfFirst(ofEach, behavior)
 						for range 3 {
 							worst = max(worst, f.inForce(c))
 						}
@@ -122,12 +121,12 @@
 	}
 }
 
-// TestLeavingsKnownWhileReadersFail: while documents of 60 KB follow each other on links of
-// 5 Mbit/s and the source fails the first readers of each zone in any way, all nodes know in
-// time that an instance leaves.
-func TestLeavingsKnownWhileReadersFail(t *testing.T) {
+// TestDeparturesKnownWhileReadersFail checks that all nodes learn in time that an instance leaves,
+// while documents of 60 KB follow each other on links of 5 Mbit/s and the source fails the first
+// readers of each zone in any way.
+func TestDeparturesKnownWhileReadersFail(t *testing.T) {
 	const (
-		// within is the users' target with any two readers of a zone failing.
+		// within is the required limit while any two readers of a zone fail.
 		within        = 1500 * time.Millisecond
 		linkRate      = 5_000_000 / 8
 		documentBytes = 60 << 10
@@ -135,9 +134,9 @@
 		longest       = 600 * time.Millisecond
 	)
 	for _, nodes := range []int{13, 80, 300} {
-		for name, treatment := range sourceTreatments() {
-			if treatment.Behind != nil {
-				continue // where all zones are served old answers, nobody can tell
+		for name, behavior := range sourceFaults() {
+			if behavior.Stale != nil {
+				continue // no node can detect stale answers that all zones get
 			}
 			t.Run(fmt.Sprintf("%d nodes, %s", nodes, name), func(t *testing.T) {
 				t.Parallel()
@@ -145,7 +144,7 @@
 				var worst time.Duration
 				for seed := range uint64(max(1, 2*80/nodes)) {
 					f := newFreshnessFleetOn(nodes, seed, linkRate)
-					f.treatFirst(2, treatment)
+					f.setBehaviorOfFirst(2, behavior)
 					random := rand.New(rand.NewPCG(seed, 2))
 					for i := range changes {
 						f.revision++
@@ -170,21 +169,22 @@
 	}
 }
 
-// treatOneZone treats the first nodes of one zone that read from now on, so many of them.
-func (f *freshnessFleet) treatOneZone(zone string, count int, treatment simulation.Treatment) {
-	treated := make(map[membership.NodeID]bool)
-	f.Platform.SetTreatment(func(m *simulation.Machine) simulation.Treatment {
-		if m.Zone == zone && len(treated) < count {
-			treated[m.Name] = true
+// setBehaviorInZone sets the behavior of the platform for the first nodes of one zone that
+// read from now on, count of them.
+func (f *freshnessFleet) setBehaviorInZone(zone string, count int, behavior simulation.Behavior) {
+	affected := make(map[membership.NodeID]bool)
+	f.Platform.SetBehavior(func(m *simulation.Machine) simulation.Behavior {
+		if m.Zone == zone && len(affected) < count {
+			affected[m.Name] = true
 		}
-		if treated[m.Name] {
-			return treatment
+		if affected[m.Name] {
+			return behavior
 		}
-		return simulation.Treatment{}
+		return simulation.Behavior{}
 	})
 }
 
-// firstReaderZone is the zone of the reader that is first among those of all zones.
+// firstReaderZone returns the zone of the reader that polls most often, which is the leader.
 func (f *freshnessFleet) firstReaderZone() string {
 	zone, polls := "", -1
 	for _, name := range f.Machines() {
@@ -195,41 +195,42 @@
 	return zone
 }
 
-// TestChangesInForceWhileOneZoneCannotRead: the source fails the first readers of one zone, or
-// all that may read there, in any way that they notice, while nodes start and changes come at all
-// distances. The other zones read, so that callers notice nothing. What followed a change waited
-// 1.2 s for a reader that could not read, or had just started: p99 of 16 seeds was 0.61 to 0.81 s.
+// TestChangesInForceWhileOneZoneCannotRead checks that changes are in force in time while the
+// source fails the first readers of one zone, or all that may read there, in any way that they
+// can detect, and nodes restart. Changes come at random intervals. When nodes left the change
+// after the first one to a leader that could not read, or had just started, it waited 1.2 s:
+// p99 of 16 seeds was 0.61 to 0.81 s.
 func TestChangesInForceWhileOneZoneCannotRead(t *testing.T) {
-	treatments := sourceTreatments()
-	maps.DeleteFunc(treatments, func(_ string, treatment simulation.Treatment) bool { return isLate(treatment) })
-	changesWhileOneZone(t, treatments)
+	behaviors := sourceFaults()
+	maps.DeleteFunc(behaviors, func(_ string, behavior simulation.Behavior) bool { return isLate(behavior) })
+	checkChangesWhileOneZoneFails(t, behaviors)
 }
 
-// TestChangesInForceWhileOneZoneReadsLate: the same where the readers of one zone are answered late,
-// or with what was true before, and cannot tell.
+// TestChangesInForceWhileOneZoneReadsLate checks the same while the readers of one zone get late or
+// outdated answers, which they cannot detect.
 func TestChangesInForceWhileOneZoneReadsLate(t *testing.T) {
-	treatments := sourceTreatments()
-	maps.DeleteFunc(treatments, func(_ string, treatment simulation.Treatment) bool { return !isLate(treatment) })
-	changesWhileOneZone(t, treatments)
+	behaviors := sourceFaults()
+	maps.DeleteFunc(behaviors, func(_ string, behavior simulation.Behavior) bool { return !isLate(behavior) })
+	checkChangesWhileOneZoneFails(t, behaviors)
 }
 
-func isLate(treatment simulation.Treatment) bool {
-	return treatment.Delay > 0 || treatment.Behind != nil
+func isLate(behavior simulation.Behavior) bool {
+	return behavior.Delay > 0 || behavior.Stale != nil
 }
 
-// changesWhileOneZone judges when changes are in force while the source treats readers of one zone
-// in these ways.
-func changesWhileOneZone(t *testing.T, treatments map[string]simulation.Treatment) {
+// checkChangesWhileOneZoneFails checks how soon changes are in force while the source responds to
+// readers of one zone with each of the behaviors.
+func checkChangesWhileOneZoneFails(t *testing.T, behaviors map[string]simulation.Behavior) {
 	const (
-		// The users' targets for most changes, and for each.
+		// The required limits for 99% of the adoptions, and for all.
 		mostWithin, allWithin = 500 * time.Millisecond, 1500 * time.Millisecond
 		changes               = 12
 	)
 	for nodes, seeds := range map[int]uint64{13: 8, 80: 4, 300: 1} {
-		for name, treatment := range treatments {
+		for name, behavior := range behaviors {
 			for _, count := range []int{1, 2, 4} {
 				if nodes == 300 && count == 1 {
-					continue // two of a zone are harder, and a fleet of this size takes seconds
+					continue // two failing readers are harder, and a fleet of this size takes seconds
 				}
 				t.Run(fmt.Sprintf("%d nodes, %s, %d of a zone", nodes, name, count), func(t *testing.T) {
 					t.Parallel()
@@ -238,14 +239,14 @@
 					for seed := range seeds {
 						f := newFreshnessFleet(nodes, seed)
 						zone := f.firstReaderZone()
-						if treatment.Behind != nil {
-							treatment.Behind = f.latest
+						if behavior.Stale != nil {
+							behavior.Stale = f.latest
 						}
-						f.treatOneZone(zone, count, treatment)
+						f.setBehaviorInZone(zone, count, behavior)
 						random := rand.New(rand.NewPCG(seed, 2))
 						for range changes {
-							took = append(took, f.inForceOnEach(c)...)
-							f.startAgain(random)
+							took = append(took, f.adoptionTimes(c)...)
+							f.restartRandom(random)
 							f.Run(time.Duration(random.Int64N(int64(2 * time.Second))))
 						}
 						c.Check(f.Broken(), qt.HasLen, 0)
@@ -261,20 +262,21 @@
 	}
 }
 
-// sourceTreatments are the ways in which the source fails those that read it.
-func sourceTreatments() map[string]simulation.Treatment {
-	return map[string]simulation.Treatment{
+// sourceFaults returns the ways in which the source fails its readers.
+func sourceFaults() map[string]simulation.Behavior {
+	return map[string]simulation.Behavior{
 		"busy":                  {Busy: true},
 		"busy, come back later": {Busy: true, RetryAfter: 5 * time.Second},
 		"reset":                 {Reset: true},
 		"slow":                  {Delay: 300 * time.Millisecond},
 		"silent":                {Silent: true},
-		"behind":                {Behind: &snapshot.Document{}},
+		"behind":                {Stale: &snapshot.Document{}},
 	}
 }
 
-// inForceOnEach publishes a change and returns how long it takes on each node that runs.
-func (f *freshnessFleet) inForceOnEach(c *qt.C) (took []time.Duration) {
+// adoptionTimes publishes a change and returns how long it takes to be in force at each
+// running node.
+func (f *freshnessFleet) adoptionTimes(c *qt.C) (took []time.Duration) {
 	f.publish()
 	began, version := f.Now(), f.latest.Version()
 	f.OnAdopt = func(_ membership.NodeID, adopted snapshot.Version) {
@@ -287,21 +289,20 @@
 	return took
 }
 
-// startAgain kills one node of those and starts it.
-func (f *freshnessFleet) startAgain(random *rand.Rand) {
+// restartRandom kills a random node and starts it again.
+func (f *freshnessFleet) restartRandom(random *rand.Rand) {
 	name := f.Machines()[random.IntN(len(f.Machines()))]
 	f.Kill(name)
 	f.Restart(name)
 }
 
-// TestChangeAfterTheStartOfAFleet: all nodes start together and leave reading to others until
-// they have heard of the fleet. The first of each zone then read at once: a change of that
-// time waits for nobody to stand in. Measured before: no node read from the first version
-// in force on until 2.1 s after the start at the earliest, with a pause of 0.7 s in it that
-// is meant for readers that are being restarted.
-func TestChangeAfterTheStartOfAFleet(t *testing.T) {
-	// inForceBy is when a change must be in force, since the start: what the users ask of
-	// nodes that have been running for 3 s, with room for real machines.
+// TestChangeShortlyAfterFleetStart checks that a change is in force in time while all nodes start
+// together and leave reading to others until they know the fleet. The first nodes of each zone then
+// have to read at once. When they first waited StandInDelay, 0.7 s, for a reader that is being
+// restarted, no node read between the first version and 2.1 s after the start at the earliest.
+func TestChangeShortlyAfterFleetStart(t *testing.T) {
+	// inForceBy is the limit, counted from the start: what is required of nodes that have been
+	// running for 3 s, with a margin for real machines.
 	const inForceBy = 2 * time.Second
 	for _, nodes := range []int{13, 80} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -324,15 +325,15 @@
 	}
 }
 
-// TestStartServesNothingOlderThanItsPeers: a node starts while the source fails it in some
-// way. What it puts in force first is at least what all its peers held when it started. Old
-// answers are not among the ways: beside a source that is always current a start takes its word.
-func TestStartServesNothingOlderThanItsPeers(t *testing.T) {
-	// readyWithin is how long a start may take beside peers that hold a version.
+// TestStartAdoptsNothingOlderThanPeersHold checks that a node which starts while the source fails
+// it adopts no version older than the one its peers held then. Stale answers are left out: a node
+// trusts a source that is configured as always current.
+func TestStartAdoptsNothingOlderThanPeersHold(t *testing.T) {
+	// readyWithin is how long a start may take when peers hold a version.
 	const readyWithin = 3 * time.Second
 	for _, nodes := range []int{13, 80} {
-		for name, treatment := range sourceTreatments() {
-			if treatment.Behind != nil {
+		for name, behavior := range sourceFaults() {
+			if behavior.Stale != nil {
 				continue
 			}
 			t.Run(fmt.Sprintf("%d nodes, %s", nodes, name), func(t *testing.T) {
@@ -343,11 +344,11 @@
 					starting := f.Machines()[int(seed)%nodes]
 					f.Kill(starting)
 					f.inForce(c)
-					f.Platform.SetTreatment(func(m *simulation.Machine) simulation.Treatment {
+					f.Platform.SetBehavior(func(m *simulation.Machine) simulation.Behavior {
 						if m.Name == starting {
-							return treatment
+							return behavior
 						}
-						return simulation.Treatment{}
+						return simulation.Behavior{}
 					})
 					f.Restart(starting)
 					least := f.latest.Version()
@@ -366,33 +367,32 @@
 	}
 }
 
-// TestSourceReturnsBeforeItSaid: the source turned all readers away, asked them to come back
-// after 5 s, and served again after 1 s. A change of that time was in force 3.3 s after it
-// was confirmed (74 processes): nobody had asked meanwhile. The log of each reader said
-//
-//	"a read of the store failed" error="503 Service Unavailable" retry_after_ms=5000
-func TestSourceReturnsBeforeItSaid(t *testing.T) {
+// TestSourceRecoversBeforeRetryAfter checks that a change is in force in time if the source refuses
+// all readers with a Retry-After of 5 s and works again after 1 s. When all readers waited as long
+// as they were told, no node polled meanwhile, and the change was in force 3.3 s after it was
+// confirmed (74 processes).
+func TestSourceRecoversBeforeRetryAfter(t *testing.T) {
 	checkChangesAfter(t, 1500*time.Millisecond, func(f *freshnessFleet) {
-		f.Platform.SetTreatment(func(*simulation.Machine) simulation.Treatment {
-			return simulation.Treatment{Busy: true, RetryAfter: 5 * time.Second}
+		f.Platform.SetBehavior(func(*simulation.Machine) simulation.Behavior {
+			return simulation.Behavior{Busy: true, RetryAfter: 5 * time.Second}
 		})
 		f.Run(time.Second)
-		f.Platform.SetTreatment(nil)
+		f.Platform.SetBehavior(nil)
 	})
 }
 
-// TestSilentLinks: all links between nodes fall silent at once, without a reset, while new
-// ones work. Nodes find that out by heartbeats that do not come, and a change passes over new
-// links. Measured: 2.3 to 2.9 s; 1.3 to 1.4 s with a heartbeat a second in place of one each
-// two.
+// TestSilentLinks checks how soon a change is in force after all links between nodes start to drop
+// everything, without a reset, while new links work. Nodes detect that by missing heartbeats and
+// dial again. It takes 2.3 to 2.9 s with a heartbeat every two seconds, and 1.3 to 1.4 s with one
+// every second.
 func TestSilentLinks(t *testing.T) {
-	// inForceWithin is after how long nodes answer for it again that the links are theirs to
-	// find, in the users' shortest bound.
+	// inForceWithin is the shortest required time after which nodes must have replaced broken
+	// links.
 	const inForceWithin = 3 * time.Second
 	checkChangesAfter(t, inForceWithin, func(f *freshnessFleet) { f.SilenceLinks() })
 }
 
-// checkChangesAfter disturbs fleets of two sizes and checks how long the next change takes.
+// checkChangesAfter disturbs fleets of two sizes and checks how soon the next change is in force.
 func checkChangesAfter(t *testing.T, within time.Duration, disturb func(f *freshnessFleet)) {
 	const seeds = 10
 	for _, nodes := range []int{13, 80} {
@@ -408,11 +408,12 @@
 	}
 }
 
-// TestReadersOfAFleetWithMuchNews: the nodes of a reader group tell each other that they read with
-// their heartbeats, which were left out while anything else was sent. After 2.5 s of changes a
-// reader counted as one that cannot read, and further nodes of its zone read beside it: five in
-// place of three, 433 polls a minute in place of 300 with a change each 0.3 s.
-func TestReadersOfAFleetWithMuchNews(t *testing.T) {
+// TestReaderCountUnderFrequentChanges checks that frequent changes cause no additional readers.
+// Readers tell their group with heartbeats that they can read. When heartbeats were omitted while
+// other frames were sent, a reader counted as failing after 2.5 s of changes and further nodes
+// read as well: with a change every 0.3 s, five readers in place of three, and 433 polls a minute
+// in place of 300.
+func TestReaderCountUnderFrequentChanges(t *testing.T) {
 	const (
 		changes  = 60
 		interval = 300 * time.Millisecond
--- a/internal/distribution/list.go
+++ b/internal/distribution/list.go
@@ -13,39 +13,39 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// maxListEntries bounds what peers can make the list grow to.
+// maxListEntries bounds how far entries from peers can make the list grow.
 const maxListEntries = 20_000
 
-// listBuckets is the number of parts the list is split into by node, to find
-// differences between two nodes.
+// listBuckets is the number of buckets that the entries are hashed into by node. Two
+// nodes find where their lists differ by comparing the digests of the buckets.
 const listBuckets = 16
 
-// listBook holds the platform's list as it is passed on between nodes: per node the latest
-// entry, by the order that the platform gives them. Where it counts no changes of its list,
-// the order is that in which readers got them.
-type listBook struct {
+// listReplica is this node's copy of the platform's membership list, as nodes pass it on to
+// each other. It holds the latest entry for each node, by the revision of the list. Where the
+// platform gives no revisions, entries are ordered by the time at which readers read them.
+type listReplica struct {
 	entries map[membership.NodeID]wire.ListedEntry
 	buckets [listBuckets]uint64
-	// read is the list as the own process last read it, nil if it never did; revision is
-	// that of the list, zero where the platform tells none.
+	// read is the list as this process last read it, nil if it never did. revision is the
+	// list's revision, zero if the platform gives none.
 	read     map[membership.NodeID][]membership.ListedMember
 	revision uint64
 }
 
-// ordersPerRevision leaves room for changes of what is believed of a list that stays the
-// same, such as entries that are no longer awaited.
+// ordersPerRevision leaves room in the order for changes of entries within one revision of
+// the list, such as entries that are no longer awaited.
 const ordersPerRevision = 1024
 
-func newListBook() listBook {
-	return listBook{entries: make(map[membership.NodeID]wire.ListedEntry)}
+func newListReplica() listReplica {
+	return listReplica{entries: make(map[membership.NodeID]wire.ListedEntry)}
 }
 
 func listBucket(node membership.NodeID) int {
 	return int(xxhash.Sum64String(string(node)) % listBuckets)
 }
 
-// entryDigest covers what an entry says, not when it was read. A node that is not
-// listed counts nothing.
+// entryDigest returns a hash of an entry's content, which leaves out its order. It is zero
+// for a node that is not listed.
 func entryDigest(entry wire.ListedEntry) uint64 {
 	if len(entry.Members) == 0 {
 		return 0
@@ -62,10 +62,10 @@
 	return xxhash.Sum64(buffer)
 }
 
-// merge takes an entry if it says something else than the one held and is later, and
-// reports whether it did. A later one that says the same moves the one held up, so that
-// no answer from between the two wins when it arrives late.
-func (b *listBook) merge(entry wire.ListedEntry) bool {
+// merge stores an entry if it is later than the one held and its content differs, and
+// reports whether it did. A later entry with the same content only raises the order of the
+// one held, so that an entry from between the two is ignored when it arrives late.
+func (b *listReplica) merge(entry wire.ListedEntry) bool {
 	held, known := b.entries[entry.Node]
 	if known && entry.Order <= held.Order {
 		return false
@@ -85,8 +85,8 @@
 	return true
 }
 
-// digest covers the whole list.
-func (b *listBook) digest() uint64 {
+// digest returns a hash of the whole list.
+func (b *listReplica) digest() uint64 {
 	var sum uint64
 	for _, bucket := range b.buckets {
 		sum += bucket
@@ -94,8 +94,8 @@
 	return sum
 }
 
-// in returns the entries of the buckets that differ from a peer's.
-func (b *listBook) in(theirs []uint64) []wire.ListedEntry {
+// in returns the entries in the buckets whose digests differ from a peer's.
+func (b *listReplica) in(theirs []uint64) []wire.ListedEntry {
 	var differs [listBuckets]bool
 	for i := range differs {
 		differs[i] = i >= len(theirs) || theirs[i] != b.buckets[i]
@@ -110,8 +110,8 @@
 	return entries
 }
 
-// changes takes over a list that was just read and returns the entries that are news.
-func (b *listBook) changes(list []membership.ListedMember, revision uint64, now time.Time) []wire.ListedEntry {
+// changes stores a list that was just read and returns the entries that changed.
+func (b *listReplica) changes(list []membership.ListedMember, revision uint64, now time.Time) []wire.ListedEntry {
 	before := b.read
 	b.read = make(map[membership.NodeID][]membership.ListedMember, len(list))
 	for _, member := range list {
@@ -119,24 +119,25 @@
 	}
 	b.revision = max(b.revision, revision)
 	if revision == 0 {
-		return b.changesSince(before, now.UnixMilli())
+		return b.changesSinceRead(before, now.UnixMilli())
 	}
-	return b.changesAt(revision)
+	return b.changesAtRevision(revision)
 }
 
-// confirmed takes over that the list last read is still the platform's, at a revision that
-// may be later, and returns the entries that are news: peers may have told of a list from
-// between.
-func (b *listBook) confirmed(revision uint64) []wire.ListedEntry {
+// confirmed records that the list last read is still current, possibly at a later revision,
+// and returns the entries that changed: peers may have sent entries of a revision between
+// the two.
+func (b *listReplica) confirmed(revision uint64) []wire.ListedEntry {
 	if revision = max(revision, b.revision); revision == 0 || b.read == nil {
 		return nil
 	}
 	b.revision = revision
-	return b.changesAt(revision)
+	return b.changesAtRevision(revision)
 }
 
-// changesAt compares the list last read, which is that of a revision, with what is held.
-func (b *listBook) changesAt(revision uint64) []wire.ListedEntry {
+// changesAtRevision returns the entries in which the list last read, at a given revision,
+// differs from the entries held. Held entries of a later revision stay.
+func (b *listReplica) changesAtRevision(revision uint64) []wire.ListedEntry {
 	order := int64(revision) * ordersPerRevision
 	var changes []wire.ListedEntry
 	for _, node := range allNodes(b.read, b.entries) {
@@ -155,10 +156,10 @@
 	return changes
 }
 
-// changesSince compares the list last read, of which the platform tells no revision, with
-// the one read before, or with what is held if there is none. An entry that stayed the
-// same is no news: another reader may have read a later one.
-func (b *listBook) changesSince(before map[membership.NodeID][]membership.ListedMember, readAt int64) []wire.ListedEntry {
+// changesSinceRead returns the entries in which the list last read, which has no revision,
+// differs from the one read before, or from the entries held if there is none. An entry that
+// did not change between the two reads is left out: another reader may have read a later one.
+func (b *listReplica) changesSinceRead(before map[membership.NodeID][]membership.ListedMember, readAt int64) []wire.ListedEntry {
 	if before == nil {
 		before = make(map[membership.NodeID][]membership.ListedMember, len(b.entries))
 		for node, entry := range b.entries {
@@ -188,12 +189,12 @@
 	return nodes
 }
 
-// mergeListed takes list entries from a link, or the own ones from link 0, and
-// passes on those that are new.
+// mergeListed merges list entries from a link, or those that this node read from link 0,
+// and queues the changed ones for the other links.
 func (e *Engine) mergeListed(entries []wire.ListedEntry, from LinkID) {
 	var listed []membership.ListedMember
 	var unlisted []membership.NodeID
-	urgent, news := false, false
+	urgent, changed := false, false
 	for _, entry := range entries {
 		if !e.list.merge(entry) {
 			e.outbox.listed.heard(entry.Node, func(held wire.ListedEntry) bool {
@@ -201,7 +202,7 @@
 			}, from)
 			continue
 		}
-		news = true
+		changed = true
 		e.outbox.listed.put(entry.Node, entry, from)
 		listed = append(listed, entry.Members...)
 		if len(entry.Members) == 0 {
@@ -209,7 +210,7 @@
 		}
 		urgent = urgent || slices.ContainsFunc(entry.Members, isLeaving)
 	}
-	if !news {
+	if !changed {
 		return
 	}
 	if e.table.MergeListChanges(listed, unlisted, e.now) {
--- a/internal/distribution/list_test.go
+++ b/internal/distribution/list_test.go
@@ -16,20 +16,19 @@
 	return []membership.ListedMember{{Node: listedNode, PeerAddress: "127.0.0.1:1", State: state}}
 }
 
-// listStep is an answer of the platform to the own node, or an entry that another node
-// tells of one.
+// listStep is an answer of the platform to this node, or a list entry from a peer.
 type listStep struct {
 	revision uint64
 	state    membership.ListedState
-	// told says that a peer tells it; otherwise the own node read it.
-	told bool
-	// unchanged says that the platform answered that the list is still the same.
+	// fromPeer is set if a peer sent the entry; otherwise this node read it.
+	fromPeer bool
+	// unchanged is set if the platform answered that the list has not changed.
 	unchanged bool
 }
 
-func (s listStep) apply(book *listBook) {
+func (s listStep) apply(book *listReplica) {
 	switch {
-	case s.told:
+	case s.fromPeer:
 		book.merge(wire.ListedEntry{Node: listedNode, Members: listedAs(s.state), Order: int64(s.revision) * ordersPerRevision})
 	case s.unchanged:
 		mergeAll(book, book.confirmed(s.revision))
@@ -38,31 +37,31 @@
 	}
 }
 
-func mergeAll(book *listBook, entries []wire.ListedEntry) {
+func mergeAll(book *listReplica, entries []wire.ListedEntry) {
 	for _, entry := range entries {
 		book.merge(entry)
 	}
 }
 
-// TestLateAnswerNeverWins: the state of the list's last revision holds in the end, whoever
-// reads or tells it and in whatever order it arrives.
-func TestLateAnswerNeverWins(t *testing.T) {
+// TestOutdatedListEntryIsIgnored checks that the entry of the list's last revision wins, whoever
+// read it and in whatever order entries arrive.
+func TestOutdatedListEntryIsIgnored(t *testing.T) {
 	const live, leaving = membership.ListedLive, membership.ListedLeaving
 	for name, row := range map[string]struct {
 		steps []listStep
 		want  membership.ListedState
 	}{
-		"in order":                 {[]listStep{{5, live, true, false}, {6, leaving, true, false}, {7, live, true, false}}, live},
-		"told late":                {[]listStep{{5, live, true, false}, {7, live, true, false}, {6, leaving, true, false}}, live},
-		"told late, read before":   {[]listStep{{5, live, false, false}, {7, live, false, false}, {6, leaving, true, false}}, live},
-		"read late, told before":   {[]listStep{{7, live, true, false}, {6, leaving, false, false}}, live},
-		"read after it was told":   {[]listStep{{5, live, false, false}, {6, leaving, true, false}, {7, live, false, false}}, live},
-		"unchanged, told between":  {[]listStep{{5, live, false, false}, {6, leaving, true, false}, {7, live, false, true}}, live},
-		"unchanged, told after it": {[]listStep{{5, live, false, false}, {6, live, false, true}, {7, leaving, true, false}}, leaving},
-		"the last one leaves":      {[]listStep{{5, live, false, false}, {6, live, true, false}, {7, leaving, false, false}}, leaving},
+		"in order":                {[]listStep{{5, live, true, false}, {6, leaving, true, false}, {7, live, true, false}}, live},
+		"peer late":               {[]listStep{{5, live, true, false}, {7, live, true, false}, {6, leaving, true, false}}, live},
+		"peer late, read before":  {[]listStep{{5, live, false, false}, {7, live, false, false}, {6, leaving, true, false}}, live},
+		"read late, peer before":  {[]listStep{{7, live, true, false}, {6, leaving, false, false}}, live},
+		"read after peer":         {[]listStep{{5, live, false, false}, {6, leaving, true, false}, {7, live, false, false}}, live},
+		"unchanged, peer between": {[]listStep{{5, live, false, false}, {6, leaving, true, false}, {7, live, false, true}}, live},
+		"unchanged, peer after":   {[]listStep{{5, live, false, false}, {6, live, false, true}, {7, leaving, true, false}}, leaving},
+		"last revision leaving":   {[]listStep{{5, live, false, false}, {6, live, true, false}, {7, leaving, false, false}}, leaving},
 	} {
 		t.Run(name, func(t *testing.T) {
-			book := newListBook()
+			book := newListReplica()
 			for _, step := range row.steps {
 				step.apply(&book)
 			}
@@ -71,11 +70,11 @@
 	}
 }
 
-// TestChangeAtOneRevision: what is believed of a list may change while the list stays the
-// same, as when an entry is no longer awaited.
-func TestChangeAtOneRevision(t *testing.T) {
+// TestListChangeWithinOneRevision checks that an entry may change within one revision of the
+// list, as when it is no longer awaited.
+func TestListChangeWithinOneRevision(t *testing.T) {
 	c := qt.New(t)
-	book := newListBook()
+	book := newListReplica()
 	mergeAll(&book, book.changes(listedAs(membership.ListedLive), 5, time.Time{}))
 	news := book.changes(nil, 5, time.Time{})
 	c.Assert(news, qt.HasLen, 1)
--- a/internal/distribution/platform.go
+++ b/internal/distribution/platform.go
@@ -7,8 +7,9 @@
 	"github.com/winchhead/winchhead/internal/source"
 )
 
-// request runs one read of the platform in its own goroutine. It ends when the engine
-// cancels it, or when nothing of the answer comes a little after wait or later.
+// request runs one read of the platform in a goroutine of its own. The read ends when the
+// engine cancels it, when the answer has not begun SourceGrace after wait, or when it then
+// stalls for SourceGrace.
 func (n *Node) request(ctx context.Context, id RequestID, wait time.Duration, read func(context.Context) Event) {
 	grace := n.options.Timing.SourceGrace
 	requestContext, cancel := source.WithPatience(ctx, wait+grace, grace)
@@ -20,7 +21,7 @@
 	})
 }
 
-// requestEnded brings an answer and lets go of the request.
+// requestEnded delivers the answer to a request and removes the request.
 type requestEnded struct {
 	request RequestID
 	event   Event
--- a/internal/distribution/polling.go
+++ b/internal/distribution/polling.go
@@ -8,21 +8,22 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
+// pollSource asks the source for a revision newer than the one held or last seen.
 func (e *Engine) pollSource() {
 	r := &e.reading
 	r.poll = e.newRequest()
 	r.polledAt = e.now
 	r.pollAt = time.Time{}
-	r.leavesNews = false
+	r.defersToLeader = false
 	after := max(e.push.heldVersion().Revision, r.head.Revision)
-	e.act(AwaitSource{Request: r.poll, After: after, Wait: e.pollWait(), Gather: e.newsInterval()})
+	e.act(AwaitSource{Request: r.poll, After: after, Wait: e.pollWait(), Gather: e.changePollInterval()})
 }
 
-// pollWait is how long the source may hold the next poll. A reader whose last poll was
-// not answered asks without a wait: a poll that is lost then costs the time of an
-// answer only, and the source's return shows with the next one.
+// pollWait returns how long the source may hold the next poll (long polling). After a poll
+// that was not answered it is zero, so that a further lost poll costs only the time of an
+// answer, and the next poll shows that the source has recovered.
 func (e *Engine) pollWait() time.Duration {
-	if !e.reading.answered {
+	if !e.reading.lastPollAnswered {
 		return 0
 	}
 	return e.timing.SourceWait
@@ -32,7 +33,7 @@
 	r := &e.reading
 	r.fetchAt = time.Time{}
 	if !r.head.Newer(e.push.newestVersion()) || e.push.refusals.has(wire.Short(r.head)) {
-		return // a peer was faster
+		return // a peer delivered it first
 	}
 	r.fetch = e.newRequest()
 	e.act(FetchSource{Request: r.fetch, Held: e.push.heldVersion()})
@@ -44,53 +45,55 @@
 		return
 	}
 	r.poll = 0
-	if !e.answered(event.Outcome) {
-		r.answered = false
-		r.pollAt = e.now.Add(e.sourceDelay(event.Outcome))
+	if !e.recordOutcome(event.Outcome) {
+		r.lastPollAnswered = false
+		r.pollAt = e.now.Add(e.sourceRetryDelay(event.Outcome))
 		return
 	}
-	news := event.Version.Newer(snapshot.Version{Revision: max(e.push.heldVersion().Revision, r.head.Revision)})
-	least := e.timing.SourceWait / 2
+	isNewer := event.Version.Newer(snapshot.Version{Revision: max(e.push.heldVersion().Revision, r.head.Revision)})
+	interval := e.timing.SourceWait / 2
 	switch {
-	case news:
-		least = e.newsInterval()
-	case !r.answered:
-		least = 0 // the poll did not wait for news
-	}
-	r.answered = true
-	r.leavesNews = news && !e.leads()
-	r.pollAt = latest(e.now, r.polledAt.Add(least))
-	e.headSeen(event.Version, news)
+	case isNewer:
+		interval = e.changePollInterval()
+	case !r.lastPollAnswered:
+		interval = 0 // this poll did not wait for a new revision
+	}
+	r.lastPollAnswered = true
+	r.defersToLeader = isNewer && !e.leads()
+	r.pollAt = latest(e.now, r.polledAt.Add(interval))
+	e.updateHead(event.Version, isNewer)
 }
 
-// newsInterval is the least time between two polls while there is news.
-func (e *Engine) newsInterval() time.Duration {
+// changePollInterval returns the least time between the start of a poll that brings a new
+// revision and the start of the next poll.
+func (e *Engine) changePollInterval() time.Duration {
 	if e.leads() {
-		return max(e.timing.FirstNewsInterval, minPollInterval)
+		return max(e.timing.LeaderPollInterval, minPollInterval)
 	}
-	return max(e.timing.NewsInterval, minPollInterval)
+	return max(e.timing.FollowerPollInterval, minPollInterval)
 }
 
-// headSeen looks at the newest version that the source holds.
-func (e *Engine) headSeen(version snapshot.Version, news bool) {
+// updateHead processes the newest version that the source reports.
+func (e *Engine) updateHead(version snapshot.Version, isNewer bool) {
 	r := &e.reading
 	held := e.push.heldVersion()
-	e.noteConflict(version, "the source")
+	e.reportConflict(version, "the source")
 	isStale := version.Revision < held.Revision.OfSource()
-	if isStale && !r.toldStale {
-		e.log(LogWarning, "the source is stale: it holds %s, in force is %s", version, held)
+	if isStale && !r.staleLogged {
+		e.log(LogWarning, "the source is stale: it serves %s, but %s is in force", version, held)
 	}
-	r.toldStale = isStale
+	r.staleLogged = isStale
 	switch {
-	case news:
+	case isNewer:
 		r.head = version
 		r.fetchAt = e.now.Add(e.fetchDelay())
 	case version.Revision < r.head.Revision:
-		r.head = version // what it spoke of before is not there
+		r.head = version // the source no longer has the version it reported before
 	}
 }
 
-// fetchDelay is how long to let a new revision come over the overlay.
+// fetchDelay returns how long to wait for peers to deliver a new revision before it is
+// fetched from the source.
 func (e *Engine) fetchDelay() time.Duration {
 	position := e.currentRanking().globalRank(e.options.Self.Node)
 	if position == 0 {
@@ -106,26 +109,27 @@
 		return
 	}
 	r.fetch = 0
-	if !e.answered(event.Outcome) {
-		r.fetchAt = e.now.Add(e.sourceDelay(event.Outcome))
+	if !e.recordOutcome(event.Outcome) {
+		r.fetchAt = e.now.Add(e.sourceRetryDelay(event.Outcome))
 		return
 	}
 	if event.Document != nil {
-		e.noteConflict(event.Document.Version(), "the source")
-		e.offer(event.Document, "the source")
+		e.reportConflict(event.Document.Version(), "the source")
+		e.enqueueDocument(event.Document, "the source")
 	}
 	if r.head.Newer(e.push.newestVersion()) && !e.push.refusals.has(wire.Short(r.head)) {
-		r.fetchAt = e.now.Add(e.jittered(e.timing.SourceWait)) // the answer was older than the head
+		r.fetchAt = e.now.Add(e.jittered(e.timing.SourceWait)) // the document was older than the reported version
 	}
 }
 
-// busyBeforeResigning is how many times in a row a reader is turned away before another one
-// tries: one refusal may be for a moment's load.
-const busyBeforeResigning = 2
+// maxBusyAnswers is how many busy answers in a row make a reader resign, so that another
+// node reads. A single one may be due to a short load peak.
+const maxBusyAnswers = 2
 
-// answered notes how a read of the source ended. A reader whose reads fail
-// resigns, so that the next in its group reads, and goes on trying.
-func (e *Engine) answered(outcome source.Outcome) bool {
+// recordOutcome records how a read of the source ended and reports whether it succeeded. A
+// reader whose reads fail resigns: the next node in its group reads as well, while it keeps
+// trying itself.
+func (e *Engine) recordOutcome(outcome source.Outcome) bool {
 	r := &e.reading
 	ok := outcome.Status == source.StatusFresh || outcome.Status == source.StatusNotModified
 	was := r.resigned
@@ -135,18 +139,18 @@
 		r.resigned = false
 		r.confirmedAt = e.now
 	case outcome.Status == source.StatusBusy:
-		// The source lives, and another reader would add to its load, unless it turns away
-		// this node alone. A reader that is to come back later hands over at once: kept by
-		// one that was told 5 s, changes took up to 4.8 s (74 nodes in virtual time).
+		// The source works, and another reader would add to its load unless it rejects only
+		// this node. A reader with a long Retry-After resigns at once: when one that was told
+		// to wait 5 s did not, changes took up to 4.8 s (74 nodes, simulated).
 		r.failures++
-		r.resigned = r.resigned || r.failures >= busyBeforeResigning || outcome.RetryAfter > e.timing.BackoffMin
+		r.resigned = r.resigned || r.failures >= maxBusyAnswers || outcome.RetryAfter > e.timing.BackoffMin
 	default:
 		r.failures++
 		r.resigned = true
 	}
 	if r.resigned != was {
 		e.logResigned(outcome)
-		e.tellGroup()
+		e.announceReading()
 	}
 	return ok
 }
@@ -159,12 +163,12 @@
 	e.log(LogInfo, "reads the source again")
 }
 
-// sourceDelay is how long to wait after a failed read of the source.
-func (e *Engine) sourceDelay(outcome source.Outcome) time.Duration {
+// sourceRetryDelay returns how long to wait after a failed read of the source.
+func (e *Engine) sourceRetryDelay(outcome source.Outcome) time.Duration {
 	return e.readDelay(outcome, e.reading.failures)
 }
 
-// readDelay is how long to wait after so many failed reads in a row.
+// readDelay returns how long to wait after a number of failed reads in a row.
 func (e *Engine) readDelay(outcome source.Outcome, failures int) time.Duration {
 	return min(outcome.RetryAfter, e.timing.RetryAfterMax) + e.backoff(failures, e.timing.BackoffMin, e.timing.BackoffMax)
 }
--- a/internal/distribution/pulls.go
+++ b/internal/distribution/pulls.go
@@ -8,7 +8,7 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// sortedPulls returns the pulls, the newest version first.
+// sortedPulls returns the unanswered pulls, newest version first.
 func (p *pushState) sortedPulls() []pull {
 	if len(p.pulls) == 0 {
 		return nil
@@ -23,7 +23,7 @@
 	return pulls
 }
 
-// pullTimedOut gives up a pull, so that another peer is asked.
+// pullTimedOut abandons a pull, so that another peer is asked.
 func (e *Engine) pullTimedOut(pull pull) {
 	delete(e.push.pulls, pull.version)
 	e.push.attempts[pull.version]++
@@ -34,11 +34,12 @@
 	l.held = wire.ShortVersion{}
 	l.failedPulls++
 	if l.failedPulls >= maxFailedPulls {
-		e.faulty(l, "it does not deliver the versions that it announces")
+		e.faulty(l, "it does not deliver the versions it announces")
 	}
 	e.startPulls()
 }
 
+// cancelPullsOn abandons the pulls on a link that is going away.
 func (e *Engine) cancelPullsOn(l *link) {
 	cancelled := false
 	for version, pull := range e.push.pulls {
@@ -52,14 +53,14 @@
 	}
 }
 
-// startPulls asks peers for versions that are newer than all that is verified:
-// the newest first, each from the first peer that offers it.
+// startPulls asks peers for versions newer than every verified one: the newest first, each
+// from the first peer that offers it.
 func (e *Engine) startPulls() {
 	for _, l := range e.offers() {
 		if _, running := e.push.pulls[l.held]; running {
 			continue
 		}
-		if e.heldBack(l.held) || e.pulling(l) {
+		if e.blockedByNewerPull(l.held) || e.hasPull(l) {
 			continue
 		}
 		e.push.pulls[l.held] = pull{
@@ -73,13 +74,13 @@
 	}
 }
 
-// pullTimeout is longer after each pull of a version that was not answered, as the
-// cause may be a document that takes its time.
+// pullTimeout doubles with each pull of a version that was not answered in time, because
+// the document may be large and slow to transfer.
 func (e *Engine) pullTimeout(version wire.ShortVersion) time.Duration {
 	return e.timing.PullTimeout << min(e.push.attempts[version], maxPullDoublings)
 }
 
-// offers returns the links whose peers hold something newer, the newest first.
+// offers returns the links whose peers hold a newer version than this node, newest first.
 func (e *Engine) offers() []*link {
 	newest := e.push.newestVersion()
 	var offers []*link
@@ -94,19 +95,19 @@
 	return offers
 }
 
-// heldBack reports whether a pull of a newer version is so young that one of
-// this version would most likely be wasted.
-func (e *Engine) heldBack(version wire.ShortVersion) bool {
+// blockedByNewerPull reports whether a newer version was requested so recently that
+// pulling this one would most likely be wasted.
+func (e *Engine) blockedByNewerPull(version wire.ShortVersion) bool {
 	for _, pull := range e.push.pulls {
-		if pull.version.Revision > version.Revision && e.push.lowerWaits(e, pull) {
+		if pull.version.Revision > version.Revision && e.push.blocksOlderPulls(e, pull) {
 			return true
 		}
 	}
 	return false
 }
 
-// pulling reports whether a pull on the link is unanswered.
-func (e *Engine) pulling(l *link) bool {
+// hasPull reports whether the link has an unanswered pull.
+func (e *Engine) hasPull(l *link) bool {
 	for _, pull := range e.push.pulls {
 		if pull.link == l.id {
 			return true
--- a/internal/distribution/push.go
+++ b/internal/distribution/push.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// keptDocuments is how many of the last documents are kept as bases of deltas.
-	keptDocuments = 4
-	// lowerPullDelay is how long a pull of a newer version keeps one of an older
-	// version from being sent. A peer that claims a version and does not deliver
-	// it must not hold up what others offer.
-	lowerPullDelay = 300 * time.Millisecond
-	// maxPullDoublings bounds the growth of the time a peer has for an answer.
+	// maxRecentDocuments is how many documents, the one in force included, are kept as bases
+	// for deltas.
+	maxRecentDocuments = 4
+	// olderPullDelay is how long a pull of a newer version delays pulls of older ones. It is
+	// bounded so that a peer that announces a version and does not deliver it cannot hold up
+	// what others offer.
+	olderPullDelay = 300 * time.Millisecond
+	// maxPullDoublings bounds how often the timeout of a pull doubles.
 	maxPullDoublings = 5
-	// maxFailedPulls is how many pulls a peer may leave unanswered.
+	// maxFailedPulls is how many unanswered pulls close the link to a peer.
 	maxFailedPulls = 3
 )
 
-// pushState is what a node holds and what it is getting.
+// pushState holds the documents that a node has and the pulls it is waiting for.
 type pushState struct {
-	// held is in force. recent holds the last documents in force, held included.
+	// held is the document in force, recent the last ones in force, held included.
 	held   *snapshot.Document
 	recent []*snapshot.Document
-	// adopting is with the Adopter; waiting, verified and newer, comes next.
+	// adopting is being put in force by the Adopter. waiting is verified, newer, and next.
 	adopting *snapshot.Document
 	waiting  *snapshot.Document
-	// adoptingFrom and waitingFrom tell who brought them, for the log.
+	// adoptingFrom and waitingFrom say where the two came from, for the log.
 	adoptingFrom, waitingFrom string
 	pulls                     map[wire.ShortVersion]pull
 	// attempts counts the pulls of a version that were not answered in time.
 	attempts map[wire.ShortVersion]int
 	refusals refusals
-	// conflict is a version that has the revision of one held and other content.
+	// conflict is the last version seen that has the revision in force but other content.
 	conflict snapshot.Version
-	// updates holds the encoded Update from each base to held.
+	// updates caches the encoded Update from each base to held.
 	updates map[updateKey]encodedUpdate
 }
 
-// updateKey names an Update to the version in force.
+// updateKey identifies a cached Update to the version in force.
 type updateKey struct {
 	base        snapshot.Revision
 	withOrigins bool
@@ -55,7 +56,7 @@
 type pull struct {
 	version wire.ShortVersion
 	timeout time.Duration
-	// base is what the peer was told is held here; the answer starts from it.
+	// base is the document that the request named as held; the answer is a delta from it.
 	base   *snapshot.Document
 	link   LinkID
 	sentAt time.Time
@@ -77,8 +78,8 @@
 	return p.held.Version()
 }
 
-// newest returns the newest document that is verified: in force, with the
-// Adopter or waiting for it. It is nil when there is none.
+// newest returns the newest verified document, which is waiting, being adopted or in force.
+// It is nil if there is none.
 func (p *pushState) newest() *snapshot.Document {
 	switch {
 	case p.waiting != nil:
@@ -118,15 +119,15 @@
 func (p *pushState) deadlines(e *Engine, earlier func(time.Time)) {
 	for _, pull := range p.pulls {
 		earlier(pull.sentAt.Add(pull.timeout))
-		if p.lowerWaits(e, pull) {
-			earlier(pull.sentAt.Add(lowerPullDelay))
+		if p.blocksOlderPulls(e, pull) {
+			earlier(pull.sentAt.Add(olderPullDelay))
 		}
 	}
 }
 
-// lowerWaits reports whether a pull still keeps those of older versions back.
-func (p *pushState) lowerWaits(e *Engine, pull pull) bool {
-	return e.now.Before(pull.sentAt.Add(lowerPullDelay))
+// blocksOlderPulls reports whether a pull still delays those of older versions.
+func (p *pushState) blocksOlderPulls(e *Engine, pull pull) bool {
+	return e.now.Before(pull.sentAt.Add(olderPullDelay))
 }
 
 func (e *Engine) runPushTimers() {
@@ -140,23 +141,23 @@
 	}
 }
 
-// versionSeen looks at the version that a peer says it holds.
+// versionSeen processes the version that a peer says it holds.
 func (e *Engine) versionSeen(l *link) {
 	if e.push.document(l.held) == nil {
-		e.noteConflict(l.held.Padded(), "peer "+string(l.node))
+		e.reportConflict(l.held.Padded(), "peer "+string(l.node))
 	}
 	e.startPulls()
 }
 
-// noteConflict reports a version with the revision of the one held and other
-// content. The one held stays.
-func (e *Engine) noteConflict(version snapshot.Version, from string) {
+// reportConflict logs a version that has the revision in force but other content. The
+// version in force stays.
+func (e *Engine) reportConflict(version snapshot.Version, from string) {
 	held := e.push.heldVersion()
 	if held.IsZero() || !version.Conflicts(held) || wire.Short(version) == wire.Short(e.push.conflict) {
 		return
 	}
 	e.push.conflict = version
-	e.log(LogWarning, "%s has %s, which conflicts with %s in force; it stays in force", from, version, held)
+	e.log(LogWarning, "%s offers %s, which conflicts with %s in force; the version in force stays", from, version, held)
 }
 
 func (e *Engine) onAnnounce(l *link, m *wire.Announce) {
@@ -169,7 +170,7 @@
 	e.versionSeen(l)
 }
 
-// onPull answers with the version in force: as a delta where the base is kept.
+// onPull answers with the version in force, as a delta if the peer's base is still kept.
 func (e *Engine) onPull(l *link, m *wire.Pull) {
 	held := e.push.heldVersion()
 	short := wire.Short(held)
@@ -177,14 +178,14 @@
 		e.send(&wire.Announce{Version: short}, l.id)
 		return
 	}
-	update := e.updateFrom(e.push.document(m.Held), l.takesOrigins)
+	update := e.encodedUpdateFrom(e.push.document(m.Held), l.takesOrigins)
 	e.sendFrame(update.messageType, update.frame, l.id)
 	l.held = short
 }
 
-// updateFrom returns the encoded Update from a base, nil for none, to the version
-// in force.
-func (e *Engine) updateFrom(base *snapshot.Document, withOrigins bool) encodedUpdate {
+// encodedUpdateFrom returns the encoded Update from a base to the version in force. A nil
+// base gives the whole document.
+func (e *Engine) encodedUpdateFrom(base *snapshot.Document, withOrigins bool) encodedUpdate {
 	key := updateKey{withOrigins: withOrigins}
 	if base != nil {
 		key.base = base.Version().Revision
@@ -195,22 +196,22 @@
 	message := wire.NewUpdate(snapshot.Diff(base, e.push.held), withOrigins)
 	frame, err := wire.Encode(message)
 	if err != nil {
-		panic(err) // a document that was adopted has an encoding
+		panic(err) // every adopted document can be encoded
 	}
 	update := encodedUpdate{messageType: message.Type(), frame: frame}
 	e.push.updates[key] = update
 	return update
 }
 
-// onUpdate checks what a peer delivered. Nothing of it counts unless the whole
-// has the hash that was promised.
+// onUpdate verifies the document that a peer delivered. It is used only if its hash is that
+// of the target version.
 func (e *Engine) onUpdate(l *link, m *wire.Update) {
-	base, answered := e.endPulls(l)
+	base, answered := e.completePulls(l)
 	if !m.Target.Newer(e.push.newestVersion()) {
 		l.held = wire.Short(m.Target)
 		return
 	}
-	if !answered { // late
+	if !answered { // the pull was abandoned before the answer came
 		base = e.push.documentAt(m.Base)
 	}
 	var from snapshot.Version
@@ -220,24 +221,24 @@
 	case base != nil && base.Version().Revision == m.Base:
 		from = base.Version()
 	case answered:
-		e.faulty(l, "it sent a delta from a revision it was not told of")
+		e.faulty(l, "it sent a delta from a revision that the request did not name")
 		return
 	default:
 		return
 	}
 	document, err := m.Delta(from).Apply(base)
 	if err != nil {
-		e.faulty(l, "it sent a wrong update: "+err.Error())
+		e.faulty(l, "it sent an invalid update: "+err.Error())
 		return
 	}
 	l.held = wire.Short(m.Target)
 	l.failedPulls = 0
-	e.offer(document, "peer "+string(l.node))
+	e.enqueueDocument(document, "peer "+string(l.node))
 }
 
-// endPulls ends the pulls that a link was asked for. It returns the base that the
-// peer was told of, and whether there was a pull.
-func (e *Engine) endPulls(l *link) (base *snapshot.Document, answered bool) {
+// completePulls removes the pulls on a link. It returns the base that the request named,
+// and whether there was a pull.
+func (e *Engine) completePulls(l *link) (base *snapshot.Document, answered bool) {
 	for version, pull := range e.push.pulls {
 		if pull.link == l.id {
 			delete(e.push.pulls, version)
@@ -247,9 +248,9 @@
 	return base, answered
 }
 
-// offer takes a verified document on its way into force, unless it is not newer
-// or was refused before. from tells who brought it, for the log.
-func (e *Engine) offer(document *snapshot.Document, from string) {
+// enqueueDocument queues a verified document for adoption, unless it is not newer or was
+// refused before. from says where it came from, for the log.
+func (e *Engine) enqueueDocument(document *snapshot.Document, from string) {
 	document = e.keepNewerConfiguration(document)
 	version := document.Version()
 	if !version.Newer(e.push.newestVersion()) || e.push.refusals.has(wire.Short(version)) {
@@ -259,8 +260,9 @@
 	e.adoptNext()
 }
 
-// keepNewerConfiguration replaces the configuration of a document that comes from a source which
-// was restored and holds an older one than this node: that must not go back.
+// keepNewerConfiguration replaces the configuration in a document from a source that was
+// restored from a backup, if this node holds a newer one: the configuration must never go back
+// to an older one.
 func (e *Engine) keepNewerConfiguration(document *snapshot.Document) *snapshot.Document {
 	newest := e.push.newest()
 	if newest == nil || !document.Version().Newer(newest.Version()) {
@@ -272,7 +274,7 @@
 		return newest
 	}
 	if kept != document && !newest.Version().Revision.IsKeeping() {
-		e.log(LogWarning, "the source was restored with configuration %d: keeps %d until one that is not older is read",
+		e.log(LogWarning, "the source was restored with configuration %d; keeping %d until the source serves one that is not older",
 			document.Origin().Number, newest.Origin().Number)
 	}
 	return kept
--- a/internal/distribution/ranking.go
+++ b/internal/distribution/ranking.go
@@ -9,33 +9,34 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// groupSize is how many nodes of a zone keep direct links to each other and may
-// read the source, one taking over from the other.
+// groupSize is the size of a zone's reader group: the nodes that may read the source and
+// take over from each other. They keep direct links to each other.
 const groupSize = 4
 
-// leadCandidates is how many of the first readers in global rank may lead the others. They keep
-// links to each other, so that each knows whether those before it can read.
-const leadCandidates = 4
+// maxLeadCandidates is how many of the first readers in global rank may lead: the leader polls
+// the source at shorter intervals than the other readers. Candidates keep links to each other,
+// so that each knows whether those before it can read.
+const maxLeadCandidates = 4
 
-// gatewaysPerZone is how many nodes of a zone keep links to other zones and regions.
+// gatewaysPerZone is how many nodes of a zone dial nodes in other zones and regions.
 const gatewaysPerZone = 4
 
-// Salts tell the rendezvous hashes of different purposes apart.
+// Salts make the rendezvous hashes for different purposes independent.
 const (
 	saltReader  = "reader\x00"
 	saltGateway = "gateway\x00"
 	saltRing    = "ring\x00"
 )
 
-// ranking orders nodes by rendezvous hash over one view of the fleet. All nodes
-// with the same view get the same order.
+// ranking is the order of the nodes in one view of the fleet by rendezvous hash. All nodes
+// with the same view compute the same order.
 type ranking struct {
 	view *membership.View
-	// group holds the first nodes of the own zone in reader rank.
+	// group is the reader group of this node's zone, in rank.
 	group []membership.NodeID
 	// readers holds the first ReadersPerZone nodes of each zone in global rank.
 	readers []membership.NodeID
-	// gateway is set when the own node is one of its zone's gateways.
+	// gateway is set if this node is one of its zone's gateways.
 	gateway bool
 }
 
@@ -44,7 +45,7 @@
 	rank uint64
 }
 
-// rank is a node's place in an order: lower comes first.
+// rank returns the hash by which a node is ordered: lower comes first.
 func rank(salt string, node membership.NodeID) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -53,8 +54,8 @@
 	return digest.Sum64()
 }
 
-// mayRank reports whether a member counts when readers are chosen.
-func mayRank(member *membership.Member) bool {
+// isEligible reports whether a member may be a reader or a gateway.
+func isEligible(member *membership.Member) bool {
 	return !member.Leaving && !member.Suspected && member.Record.State != membership.StateGone
 }
 
@@ -66,12 +67,13 @@
 	return &e.ranking
 }
 
+// rankView computes the ranking for the node self.
 func rankView(view *membership.View, self membership.Record, readersPerZone int) ranking {
 	inGroup := max(groupSize, readersPerZone)
 	zones := make(map[string]*firstNodes)
 	gateways := firstNodes{limit: gatewaysPerZone}
 	for member := range view.All() {
-		if !mayRank(member) {
+		if !isEligible(member) {
 			continue
 		}
 		node, zone := member.Record.Node, member.Record.Zone
@@ -90,14 +92,14 @@
 		readers = append(readers, first.nodes[:min(readersPerZone, len(first.nodes))]...)
 	}
 	sortRanked(readers)
-	result := ranking{view: view, readers: names(readers), gateway: slices.Contains(names(gateways.nodes), self.Node)}
+	result := ranking{view: view, readers: nodeIDs(readers), gateway: slices.Contains(nodeIDs(gateways.nodes), self.Node)}
 	if own := zones[self.Zone]; own != nil {
-		result.group = names(own.nodes)
+		result.group = nodeIDs(own.nodes)
 	}
 	return result
 }
 
-// firstNodes keeps the first nodes in rank of those added, in order.
+// firstNodes keeps the lowest-ranked of the nodes added, up to limit, in order.
 type firstNodes struct {
 	limit int
 	nodes []rankedNode
@@ -112,7 +114,7 @@
 	f.nodes = f.nodes[:min(len(f.nodes), f.limit)]
 }
 
-func names(ranked []rankedNode) []membership.NodeID {
+func nodeIDs(ranked []rankedNode) []membership.NodeID {
 	nodes := make([]membership.NodeID, len(ranked))
 	for i := range ranked {
 		nodes[i] = ranked[i].node
@@ -126,17 +128,17 @@
 
 func sortRanked(nodes []rankedNode) { slices.SortFunc(nodes, compareRanked) }
 
-// inGroup reports whether a node is in the reader group of the own zone.
+// inGroup reports whether a node is in the reader group of this node's zone.
 func (r *ranking) inGroup(node membership.NodeID) bool { return slices.Contains(r.group, node) }
 
-// candidates returns the readers that may lead, in the order in which they do.
+// candidates returns the readers that may lead, in order of precedence.
 func (r *ranking) candidates() []membership.NodeID {
-	return r.readers[:min(len(r.readers), leadCandidates)]
+	return r.readers[:min(len(r.readers), maxLeadCandidates)]
 }
 
-// leadBefore returns the candidates that lead before a node does, if they can read. false: the node
-// is none itself.
-func (r *ranking) leadBefore(node membership.NodeID) (before []membership.NodeID, may bool) {
+// candidatesBefore returns the candidates that take precedence over a node. It reports false if
+// the node is not a candidate itself.
+func (r *ranking) candidatesBefore(node membership.NodeID) (before []membership.NodeID, may bool) {
 	position := slices.Index(r.candidates(), node)
 	if position < 0 {
 		return nil, false
@@ -144,13 +146,13 @@
 	return r.readers[:position], true
 }
 
-// areCandidates reports whether both of two nodes may lead.
+// areCandidates reports whether both nodes may lead.
 func (r *ranking) areCandidates(one, other membership.NodeID) bool {
 	return slices.Contains(r.candidates(), one) && slices.Contains(r.candidates(), other)
 }
 
-// globalRank returns a node's place among all readers; nodes that are not among
-// the first of their zone come after all that are.
+// globalRank returns a node's position among the readers of all zones. Nodes that are not
+// among the first of their zone come after those.
 func (r *ranking) globalRank(node membership.NodeID) int {
 	if position := slices.Index(r.readers, node); position >= 0 {
 		return position
--- a/internal/distribution/reading.go
+++ b/internal/distribution/reading.go
@@ -9,40 +9,41 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// minPollInterval is the least time between two polls that bring news.
+// minPollInterval is the lower bound of the interval after a poll that brings a new revision.
 const minPollInterval = 100 * time.Millisecond
 
-// never is the SourceAge of a node that heard of no confirmation.
+// never is the SourceAge of a node that knows of no answer from the source.
 const never = -1
 
-// readingState is the own part in reading the source.
+// readingState is the state of this node as a reader of the source.
 type readingState struct {
+	// active is set while this node is a reader, resigned while it is one whose reads fail.
 	active   bool
 	resigned bool
 	failures int
-	// turnAt is when the own turn to read begins or began; zero: others read.
-	turnAt time.Time
-	// leftAt is when the node last stopped reading. It goes on at once if its turn
-	// comes again soon, as when it took a version from a peer first.
-	leftAt time.Time
-	// silenceAt is when a link of the group was last found silent.
+	// startReadingAt is when this node starts, or started, to read; zero if others read.
+	startReadingAt time.Time
+	// stoppedReadingAt is when the node last stopped reading. If it becomes a reader again
+	// soon after, it resumes without delay, as after it took a version from a peer first.
+	stoppedReadingAt time.Time
+	// silenceAt is when a link to a group member last failed because the peer was silent.
 	silenceAt time.Time
 	// poll is the running AwaitSource, pollAt when to send the next one.
 	poll     RequestID
 	polledAt time.Time
-	// answered says that the last poll of this turn was answered.
-	answered bool
-	pollAt   time.Time
-	// leavesNews says that the next poll waits because it leaves what follows to the reader that
-	// leads.
-	leavesNews bool
-	// head is the newest revision that the source spoke of, fetchAt when to fetch
-	// it unless a peer brings it before.
-	head      snapshot.Version
-	fetch     RequestID
-	fetchAt   time.Time
-	toldStale bool
-	// confirmedAt is when any reader, by this node's knowledge, last heard from
+	// lastPollAnswered is set if the last poll since this node began to read was answered.
+	lastPollAnswered bool
+	pollAt           time.Time
+	// defersToLeader is set while the next poll is delayed because the leader is expected to
+	// bring the next revision.
+	defersToLeader bool
+	// head is the newest version that the source reported, fetchAt when to fetch it unless
+	// a peer delivers it first.
+	head        snapshot.Version
+	fetch       RequestID
+	fetchAt     time.Time
+	staleLogged bool // avoids repeated log lines
+	// confirmedAt is when any reader, as far as this node knows, last got an answer from
 	// the source.
 	confirmedAt time.Time
 	lastRequest RequestID
@@ -61,7 +62,7 @@
 
 func (r *readingState) deadlines(earlier func(time.Time)) {
 	if !r.active {
-		earlier(r.turnAt)
+		earlier(r.startReadingAt)
 	}
 	if r.poll == 0 {
 		earlier(r.pollAt)
@@ -76,107 +77,108 @@
 	return e.reading.lastRequest
 }
 
-// turn tells whether it is a node's turn to read, and why.
-type turn uint8
+// readerRole tells whether a node reads the source, and how soon it starts.
+type readerRole uint8
 
 const (
-	turnOthers turn = 0 // others read
-	// turnOwn: the node is among the first of those in its group that can read.
-	turnOwn turn = 1
-	// turnPressing: the same, and one before it fell silent or cannot read, which
-	// took a while to show.
-	turnPressing turn = 2
+	roleStandby readerRole = 0 // leaves reading to others
+	// roleReader: the node is among the first in its group that can read.
+	roleReader readerRole = 1
+	// roleReaderAtOnce: the same, and a reader before it fell silent or cannot read. Detecting
+	// that took time already, so this node starts without further delay.
+	roleReaderAtOnce readerRole = 2
 )
 
-// ownTurn decides whether this node reads the source: while it is one of the
-// first in its zone of those that can.
-func (e *Engine) ownTurn() turn {
+// desiredRole decides whether this node reads the source: it does while it is among the
+// first ReadersPerZone nodes of its zone that can.
+func (e *Engine) desiredRole() readerRole {
 	current := e.currentRanking()
 	if !current.inGroup(e.options.Self.Node) || !e.start.mayRead(e) {
-		return turnOthers
+		return roleStandby
 	}
-	able, pressing := 0, e.push.held == nil || e.now.Sub(e.reading.silenceAt) < e.timing.StandInDelay
+	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.reading.silenceAt) < e.timing.StandInDelay
 	for _, node := range current.group {
 		if node == e.options.Self.Node {
 			break
 		}
-		switch e.readability(node) {
-		case readable:
-			able++
-		case failing:
-			pressing = true
+		switch e.readerHealthOf(node) {
+		case readerHealthy:
+			healthy++
+		case readerFailing:
+			urgent = true
 		}
 	}
 	switch {
-	case able >= e.options.ReadersPerZone:
-		return turnOthers
-	case pressing:
-		return turnPressing
+	case healthy >= e.options.ReadersPerZone:
+		return roleStandby
+	case urgent:
+		return roleReaderAtOnce
 	default:
-		return turnOwn
+		return roleReader
 	}
 }
 
-// readability tells what is believed of another node of the group as a reader.
-type readability uint8
+// readerHealth is what this node knows of another node as a reader.
+type readerHealth uint8
 
 const (
-	readable readability = 1 // reads, or will when its turn comes
-	// lost: its link broke, it cannot be dialled, speaks another protocol, or does not know the
-	// epochs of the source, so that what it reads counts for older than it is.
-	lost    readability = 2
-	failing readability = 3 // its own reads fail
+	readerHealthy readerHealth = 1 // reads, or will when it becomes a reader
+	// readerUnusable: its link broke, it cannot be dialled, it speaks another protocol, or it
+	// does not know the epochs of the source, so that the revisions it reads count as older
+	// than they are.
+	readerUnusable readerHealth = 2
+	readerFailing  readerHealth = 3 // its reads fail, or its last answer is older than FreshnessLimit
 )
 
-func (e *Engine) readability(node membership.NodeID) readability {
+func (e *Engine) readerHealthOf(node membership.NodeID) readerHealth {
 	if p := e.overlay.peers[node]; p != nil && (p.lost || p.failures > 0 || p.otherProtocol) {
-		return lost
+		return readerUnusable
 	}
 	l := e.overlay.linkTo(node)
 	if l == nil || l.phase != phaseUp {
-		return readable
+		return readerHealthy
 	}
 	if !l.takesOrigins && e.push.heldVersion().Revision.Epoch() > 0 {
-		return lost
+		return readerUnusable
 	}
 	stale := e.now.Sub(latest(l.confirmedAt, l.readingSince)) > e.timing.FreshnessLimit
 	if l.reading == wire.ReadingResigned || l.reading == wire.ReadingActive && stale {
-		return failing
+		return readerFailing
 	}
-	return readable
+	return readerHealthy
 }
 
-// leads reports whether this node is the first of the candidates that read.
+// leads reports whether this node is the leader: the first lead candidate that reads.
 func (e *Engine) leads() bool {
-	before, may := e.currentRanking().leadBefore(e.options.Self.Node)
+	before, may := e.currentRanking().candidatesBefore(e.options.Self.Node)
 	return may && !slices.ContainsFunc(before, e.isReading)
 }
 
-// isReading reports whether another candidate reads, as far as this node can tell.
+// isReading reports whether another lead candidate reads, as far as this node knows.
 func (e *Engine) isReading(node membership.NodeID) bool {
 	if l := e.overlay.linkTo(node); l != nil && l.phase == phaseUp && l.reading != wire.ReadingActive {
-		return false // it has just started, or cannot read
+		return false // it is not a reader yet, or its reads fail
 	}
-	return e.readability(node) == readable
+	return e.readerHealthOf(node) == readerHealthy
 }
 
-// takeOverNews polls at once where the reader is gone, or can no longer read, that the news was left
-// to.
-func (e *Engine) takeOverNews() {
+// takeOverPolling ends the delay of the next poll if this node became the leader, because the
+// former leader is gone or can no longer read.
+func (e *Engine) takeOverPolling() {
 	r := &e.reading
-	if r.leavesNews && r.poll == 0 && e.leads() {
-		r.leavesNews = false
-		r.pollAt = earliest(r.pollAt, latest(e.now, r.polledAt.Add(e.newsInterval())))
+	if r.defersToLeader && r.poll == 0 && e.leads() {
+		r.defersToLeader = false
+		r.pollAt = earliest(r.pollAt, latest(e.now, r.polledAt.Add(e.changePollInterval())))
 	}
 }
 
-// runReadingTimers takes up or leaves reading and does what is due.
+// runReadingTimers starts or stops reading and runs the reads that are due.
 func (e *Engine) runReadingTimers() {
-	e.takeTurn()
+	e.updateRole()
 	if !e.reading.active {
 		return
 	}
-	e.takeOverNews()
+	e.takeOverPolling()
 	if e.passed(e.reading.pollAt) && e.reading.poll == 0 {
 		e.pollSource()
 	}
@@ -185,24 +187,25 @@
 	}
 }
 
-// takeTurn waits a little before it takes over from a reader that is gone: most
-// of them are being restarted, and the source would see one more reader for each. A node
-// that has just settled has waited already: in a fleet that starts nobody reads before it.
-func (e *Engine) takeTurn() {
+// updateRole starts or stops reading. It waits StandInDelay before it takes over from a reader
+// that is gone: most of those are being restarted, and the source would get an additional
+// reader for each. A node whose StartSettle has just passed does not wait again, because no
+// other node reads yet in a fleet that starts.
+func (e *Engine) updateRole() {
 	r := &e.reading
-	own := e.ownTurn()
+	desired := e.desiredRole()
 	switch {
-	case own == turnOthers:
+	case desired == roleStandby:
 		if r.active {
-			r.leftAt = e.now
+			r.stoppedReadingAt = e.now
 		}
-		r.turnAt = time.Time{}
-	case own == turnPressing || e.now.Sub(r.leftAt) < e.timing.StandInDelay || e.start.justSettled(e):
-		r.turnAt = e.now
-	case r.turnAt.IsZero():
-		r.turnAt = e.now.Add(e.timing.StandInDelay)
+		r.startReadingAt = time.Time{}
+	case desired == roleReaderAtOnce || e.now.Sub(r.stoppedReadingAt) < e.timing.StandInDelay || e.start.justSettled(e):
+		r.startReadingAt = e.now
+	case r.startReadingAt.IsZero():
+		r.startReadingAt = e.now.Add(e.timing.StandInDelay)
 	}
-	if reads := e.passed(r.turnAt); reads != r.active {
+	if reads := e.passed(r.startReadingAt); reads != r.active {
 		e.setReading(reads)
 	}
 }
@@ -212,7 +215,7 @@
 	r.active = active
 	r.resigned = false
 	r.failures = 0
-	r.answered = false
+	r.lastPollAnswered = false
 	if active {
 		r.pollAt = e.now
 		e.log(LogInfo, "reads the source")
@@ -221,7 +224,7 @@
 		e.log(LogInfo, "leaves the source to others")
 	}
 	e.members.readingChanged(e)
-	e.tellGroup()
+	e.announceReading()
 }
 
 func latest(a, b time.Time) time.Time {
@@ -231,8 +234,9 @@
 	return b
 }
 
-// tellGroup tells the group and the other candidates at once what this node does about the source.
-func (e *Engine) tellGroup() {
+// announceReading tells the reader group and the other lead candidates at once whether this
+// node reads the source.
+func (e *Engine) announceReading() {
 	for _, l := range e.overlay.order {
 		if l.lasting() && e.isStandingLink(l) {
 			e.sendHeartbeat(l)
@@ -240,6 +244,7 @@
 	}
 }
 
+// cancelReading cancels the running reads of the source and forgets what it reported.
 func (e *Engine) cancelReading() {
 	r := &e.reading
 	for _, request := range []RequestID{r.poll, r.fetch} {
@@ -248,11 +253,11 @@
 		}
 	}
 	r.poll, r.fetch = 0, 0
-	r.head = snapshot.Version{} // is news again, should this node read once more
+	r.head = snapshot.Version{} // counts as new if this node reads again
 	r.pollAt, r.fetchAt = time.Time{}, time.Time{}
 }
 
-// cancelRequests gives up all requests to the platform.
+// cancelRequests cancels all requests to the platform.
 func (e *Engine) cancelRequests() {
 	e.cancelReading()
 	if e.members.request != 0 {
@@ -261,7 +266,7 @@
 	}
 }
 
-// sourceAge is how many milliseconds ago a reader last heard from the source.
+// sourceAge returns how many milliseconds ago a reader last got an answer from the source.
 func (e *Engine) sourceAge() int64 {
 	if e.reading.confirmedAt.IsZero() {
 		return never
@@ -269,7 +274,7 @@
 	return e.now.Sub(e.reading.confirmedAt).Milliseconds()
 }
 
-// sourceConfirmed takes a peer's word for when a reader heard from the source.
+// sourceConfirmed records a peer's report of when a reader last got an answer from the source.
 func (e *Engine) sourceConfirmed(l *link, age int64) {
 	if age < 0 {
 		return
--- a/internal/distribution/restore_table_test.go
+++ b/internal/distribution/restore_table_test.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// newest is the number of the configuration in force when the source is restored.
-	newest = 20
+	// numberInForce is the number of the configuration in force when the source is restored.
+	numberInForce = 20
 	// restoredZones is the number of zones of a fleet whose source is restored.
 	restoredZones = 4
 )
 
-// restoredFleet is a fleet whose source is restored from copies. It checks that no process ever
+// restoredFleet is a fleet whose source is restored from backups. It checks that no process ever
 // goes back to a configuration with a lower number.
 type restoredFleet struct {
 	*simulation.Fleet
 	c *qt.C
-	// numbers are those of the configurations in each version, held the highest that each
-	// machine's process has had in force.
+	// numbers maps versions to the numbers of their configurations; held is the highest number
+	// that each machine's process has had in force.
 	numbers map[snapshot.Version]uint64
 	held    map[membership.NodeID]uint64
-	// inForce has the configuration with the highest number.
+	// inForce is the document whose configuration has the highest number.
 	inForce *snapshot.Document
-	// at is the revision published last.
+	// at is the last published revision.
 	at snapshot.Revision
 }
 
-// newRestoredFleet starts a fleet that has the configuration newest in force at all nodes.
+// newRestoredFleet starts a fleet in which all nodes have the configuration numberInForce in force.
 func newRestoredFleet(c *qt.C, size int) *restoredFleet {
 	f := &restoredFleet{c: c, numbers: make(map[snapshot.Version]uint64), held: make(map[membership.NodeID]uint64)}
 	f.Fleet = simulation.New(simulation.Options{
@@ -45,51 +45,52 @@
 	})
 	f.OnAdopt = f.adopted
 	f.at = snapshot.NewRevision(1, 90)
-	f.publish(newest)
+	f.publish(numberInForce)
 	for i := range size {
 		f.Start(simulation.Machine{Name: membership.NodeID(fmt.Sprintf("node-%03d", i)), Zone: fmt.Sprintf("zone-%d", i%restoredZones), Region: "r"}, nil)
 	}
 	f.Run(10 * time.Second)
-	c.Assert(f.hold(newest, nil), qt.IsTrue)
+	c.Assert(f.allHoldConfiguration(numberInForce, nil), qt.IsTrue)
 	return f
 }
 
 func (f *restoredFleet) adopted(name membership.NodeID, version snapshot.Version) {
 	number := f.numbers[version]
 	if number < f.held[name] {
-		f.c.Errorf("%s at %s: went from configuration %d to %d", f.Now(), name, f.held[name], number)
+		f.c.Errorf("%s at %s: configuration %d was replaced by %d", f.Now(), name, f.held[name], number)
 	}
 	f.held[name] = max(f.held[name], number)
 }
 
-// publish has the source hold a configuration, as the next revision.
+// publish publishes a configuration as the next revision.
 func (f *restoredFleet) publish(number uint64, changes ...snapshot.Change) {
 	f.at = f.at.Next()
 	f.publishAt(number, changes)
 }
 
-// restore has the source come back with a configuration from so many revisions before.
+// restore restores the source in a new epoch, with an older configuration and without the last
+// revisions, lost in number.
 func (f *restoredFleet) restore(number, lost uint64) {
 	f.at = snapshot.NewRevision(f.at.Epoch()+1, f.at.Number()-lost)
 	f.publishAt(number, nil)
 }
 
-// publishAt publishes a document, and makes known the one that follows from it at nodes which keep
-// a configuration with a higher number.
+// publishAt publishes a document, and records as published the document that results at nodes
+// which keep a configuration with a higher number.
 func (f *restoredFleet) publishAt(number uint64, changes []snapshot.Change) {
-	document := numbered(f.at, number, "i-1")
+	document := numberedDocument(f.at, number, "i-1")
 	kept, err := document.KeepingNewerConfiguration(f.inForce)
 	f.c.Assert(err, qt.IsNil)
 	if kept == document {
 		f.inForce = document
 	}
 	f.numbers[document.Version()], f.numbers[kept.Version()] = number, f.inForce.Origin().Number
-	f.Platform.Know(kept)
+	f.Platform.AddPublished(kept)
 	f.Platform.PublishChanges(document, changes...)
 }
 
-// hold reports whether all running machines but those named have a configuration in force.
-func (f *restoredFleet) hold(number uint64, except []membership.NodeID) bool {
+// allHoldConfiguration reports whether all running machines except some have a configuration in force.
+func (f *restoredFleet) allHoldConfiguration(number uint64, except []membership.NodeID) bool {
 	for _, name := range f.Machines() {
 		if held, running := f.Held(name); running && f.numbers[held] != number && !slices.Contains(except, name) {
 			return false
@@ -98,8 +99,8 @@
 	return true
 }
 
-// haveEntered reports whether all running machines but those named have entered an epoch.
-func (f *restoredFleet) haveEntered(epoch uint64, except []membership.NodeID) bool {
+// allInEpoch reports whether all running machines except some have entered an epoch.
+func (f *restoredFleet) allInEpoch(epoch uint64, except []membership.NodeID) bool {
 	for _, name := range f.Machines() {
 		if held, running := f.Held(name); running && held.Revision.Epoch() != epoch && !slices.Contains(except, name) {
 			return false
@@ -108,7 +109,7 @@
 	return true
 }
 
-// restart kills the process of a machine and starts the next one a while later.
+// restart kills the process of a machine and starts a new one after a delay.
 func (f *restoredFleet) restart(name membership.NodeID, after time.Duration) {
 	f.Kill(name)
 	f.Run(after)
@@ -116,9 +117,10 @@
 	f.Restart(name)
 }
 
-// changesAfterARestore judges what is acknowledged after the source's return: a change of an
-// instance is known in 1 s, and by 99 of 100 nodes in 0.3 s, a configuration is in force in 1.5 s.
-func (f *restoredFleet) changesAfterARestore(next uint64, except []membership.NodeID) {
+// checkChangesAfterRestore checks the changes that are acknowledged after the restore. A change of
+// an instance has to be known at 99% of the nodes in 0.3 s and at all in 1 s, and a configuration
+// in force in 1.5 s.
+func (f *restoredFleet) checkChangesAfterRestore(next uint64, except []membership.NodeID) {
 	const (
 		changeKnown, soon   = time.Second, 300 * time.Millisecond
 		configurationKnown  = 1500 * time.Millisecond
@@ -144,10 +146,10 @@
 			return count
 		}
 		f.c.Check(f.RunUntil(soon, func() bool { return float64(knowing()) >= shareOfNodes*float64(size) }), qt.IsTrue,
-			qt.Commentf("change %d: %d of %d nodes know of it after %s", i, knowing(), size, f.Now()-began))
+			qt.Commentf("change %d: %d of %d nodes know it after %s", i, knowing(), size, f.Now()-began))
 		f.c.Check(f.RunUntil(changeKnown-(f.Now()-began), func() bool { return knowing() == size }), qt.IsTrue,
-			qt.Commentf("change %d: %d of %d nodes know of it after %s", i, knowing(), size, f.Now()-began))
-		f.c.Check(f.RunUntil(configurationKnown-(f.Now()-began), func() bool { return f.hold(number, except) }), qt.IsTrue,
+			qt.Commentf("change %d: %d of %d nodes know it after %s", i, knowing(), size, f.Now()-began))
+		f.c.Check(f.RunUntil(configurationKnown-(f.Now()-began), func() bool { return f.allHoldConfiguration(number, except) }), qt.IsTrue,
 			qt.Commentf("configuration %d is not in force after %s", number, f.Now()-began))
 		f.Run(betweenTwo)
 	}
@@ -158,179 +160,181 @@
 	return running && held.Revision >= revision
 }
 
-// copied is the number of the configuration in a copy, lost how many revisions it is behind.
+// backupNumber is the number of the configuration in the backup, lostRevisions how many revisions the backup is
+// behind.
 const (
-	copied = 17
-	lost   = 60
+	backupNumber  = 17
+	lostRevisions = 60
 )
 
-// drill has the source of a fleet come back from a copy, and returns the machines that are not in
-// touch with it then.
-type drill func(f *restoredFleet) (except []membership.NodeID)
+// restoreCase restores the source of a fleet from a backup, and returns the machines that are cut
+// off or suspended at its end.
+type restoreCase func(f *restoredFleet) (except []membership.NodeID)
 
-// away has the source be away.
-func (f *restoredFleet) away(duration time.Duration) {
+// takeSourceDown makes the source unavailable for a duration.
+func (f *restoredFleet) takeSourceDown(duration time.Duration) {
 	f.Platform.SetDown(true)
 	f.Run(duration)
 	f.Platform.SetDown(false)
 }
 
-// entered checks that all but those named enter the epoch soon, and keep their configuration.
-func (f *restoredFleet) entered(except ...membership.NodeID) {
+// checkEpochEntered checks that all machines except some enter the epoch in time and keep their
+// configuration.
+func (f *restoredFleet) checkEpochEntered(except ...membership.NodeID) {
 	const returns = 2500 * time.Millisecond
-	f.c.Check(f.RunUntil(returns, func() bool { return f.haveEntered(f.at.Epoch(), except) }), qt.IsTrue, qt.Commentf("not all entered the epoch"))
-	f.c.Check(f.hold(newest, except), qt.IsTrue, qt.Commentf("not all kept the configuration"))
+	f.c.Check(f.RunUntil(returns, func() bool { return f.allInEpoch(f.at.Epoch(), except) }), qt.IsTrue, qt.Commentf("not all nodes entered the epoch"))
+	f.c.Check(f.allHoldConfiguration(numberInForce, except), qt.IsTrue, qt.Commentf("not all nodes kept the configuration"))
 }
 
-// inFirstZones tells half of the machines from the others.
+// inFirstZones selects the machines in the first half of the zones.
 func inFirstZones(m *simulation.Machine) bool { return m.Zone == "zone-0" || m.Zone == "zone-1" }
 
-// runDrills plays each drill in a fleet of each size.
-func runDrills(t *testing.T, drills map[string]drill, sizes ...int) {
+// runRestoreCases runs each case in a fleet of each size.
+func runRestoreCases(t *testing.T, cases map[string]restoreCase, sizes ...int) {
 	for _, size := range sizes {
-		for name, play := range drills {
+		for name, run := range cases {
 			t.Run(fmt.Sprintf("%d nodes, %s", size, name), func(t *testing.T) {
 				f := newRestoredFleet(qt.New(t), size)
-				except := play(f)
-				f.changesAfterARestore(newest+1, except)
+				except := run(f)
+				f.checkChangesAfterRestore(numberInForce+1, except)
 				f.Run(5 * time.Second)
-				f.c.Check(f.hold(newest+1, nil), qt.IsTrue, qt.Commentf("in the end"))
+				f.c.Check(f.allHoldConfiguration(numberInForce+1, nil), qt.IsTrue, qt.Commentf("at the end"))
 				f.c.Check(f.Broken(), qt.HasLen, 0)
 			})
 		}
 	}
 }
 
-// TestRestoresInLargeFleets: a source is restored from a copy of before the last configurations, in
-// many ways and amid other trouble. Nobody goes back to a configuration with a lower number, and
-// what is acknowledged after the source's return is known as soon as at any other time.
+// TestRestoresInLargeFleets checks restores of the source from a backup without the last
+// configurations, in many ways and together with other faults. No node goes back to a configuration
+// with a lower number, and changes after the restore arrive as soon as at any other time.
 func TestRestoresInLargeFleets(t *testing.T) {
-	drills := map[string]drill{
-		"at once, nothing is lost": func(f *restoredFleet) []membership.NodeID {
-			f.restore(newest, 0)
-			f.entered()
+	cases := map[string]restoreCase{
+		"no revision is lost": func(f *restoredFleet) []membership.NodeID {
+			f.restore(numberInForce, 0)
+			f.checkEpochEntered()
 			return nil
 		},
-		"at once": func(f *restoredFleet) []membership.NodeID {
-			f.restore(copied, lost)
-			f.entered()
+		"revisions are lost": func(f *restoredFleet) []membership.NodeID {
+			f.restore(backupNumber, lostRevisions)
+			f.checkEpochEntered()
 			return nil
 		},
-		"away for 5 s": func(f *restoredFleet) []membership.NodeID {
-			f.away(5 * time.Second)
-			f.restore(copied, lost)
-			f.entered()
+		"source unavailable for 5 s": func(f *restoredFleet) []membership.NodeID {
+			f.takeSourceDown(5 * time.Second)
+			f.restore(backupNumber, lostRevisions)
+			f.checkEpochEntered()
 			return nil
 		},
-		"all is written again at once": func(f *restoredFleet) []membership.NodeID {
-			f.away(time.Second)
-			f.restore(copied, lost)
-			for number := uint64(copied + 1); number <= newest; number++ {
+		"all configurations are written again at once": func(f *restoredFleet) []membership.NodeID {
+			f.takeSourceDown(time.Second)
+			f.restore(backupNumber, lostRevisions)
+			for number := uint64(backupNumber + 1); number <= numberInForce; number++ {
 				f.publish(number)
 			}
-			f.entered()
+			f.checkEpochEntered()
 			return nil
 		},
-		"all is written again over 3 s": func(f *restoredFleet) []membership.NodeID {
-			f.away(time.Second)
-			f.restore(copied, lost)
-			for number := uint64(copied + 1); number <= newest; number++ {
+		"all configurations are written again over 3 s": func(f *restoredFleet) []membership.NodeID {
+			f.takeSourceDown(time.Second)
+			f.restore(backupNumber, lostRevisions)
+			for number := uint64(backupNumber + 1); number <= numberInForce; number++ {
 				f.Run(time.Second)
 				f.publish(number)
 			}
-			f.entered()
+			f.checkEpochEntered()
 			return nil
 		},
-		"again, from an older copy": func(f *restoredFleet) []membership.NodeID {
-			f.restore(copied, lost)
-			f.away(500 * time.Millisecond)
-			f.restore(copied-2, 20)
-			f.entered()
+		"again, from an older backup": func(f *restoredFleet) []membership.NodeID {
+			f.restore(backupNumber, lostRevisions)
+			f.takeSourceDown(500 * time.Millisecond)
+			f.restore(backupNumber-2, 20)
+			f.checkEpochEntered()
 			return nil
 		},
-		"again, after some was written": func(f *restoredFleet) []membership.NodeID {
-			f.restore(copied, lost)
-			f.entered()
-			f.publish(newest - 1)
+		"again, after a configuration was written": func(f *restoredFleet) []membership.NodeID {
+			f.restore(backupNumber, lostRevisions)
+			f.checkEpochEntered()
+			f.publish(numberInForce - 1)
 			f.Run(700 * time.Millisecond)
-			f.restore(copied, 0)
-			f.entered()
+			f.restore(backupNumber, 0)
+			f.checkEpochEntered()
 			return nil
 		},
 		"half of the zones see it 3 s later": func(f *restoredFleet) []membership.NodeID {
 			former := f.inForce
-			f.Platform.SetTreatment(func(m *simulation.Machine) simulation.Treatment {
+			f.Platform.SetBehavior(func(m *simulation.Machine) simulation.Behavior {
 				if inFirstZones(m) {
-					return simulation.Treatment{Behind: former}
+					return simulation.Behavior{Stale: former}
 				}
-				return simulation.Treatment{}
+				return simulation.Behavior{}
 			})
-			f.restore(copied, lost)
-			f.entered()
+			f.restore(backupNumber, lostRevisions)
+			f.checkEpochEntered()
 			f.Run(3 * time.Second)
-			f.Platform.SetTreatment(nil)
+			f.Platform.SetBehavior(nil)
 			return nil
 		},
-		"processes end and start": func(f *restoredFleet) []membership.NodeID {
-			f.away(500 * time.Millisecond)
-			f.restore(copied, lost)
+		"processes restart": func(f *restoredFleet) []membership.NodeID {
+			f.takeSourceDown(500 * time.Millisecond)
+			f.restore(backupNumber, lostRevisions)
 			for _, name := range f.Machines()[:4] {
 				f.restart(name, 300*time.Millisecond)
 			}
-			f.Run(3 * time.Second) // for as long, nothing is asked of a node that has just started
-			f.entered()
+			f.Run(3 * time.Second) // nothing is required of a node for this time after its start
+			f.checkEpochEntered()
 			return nil
 		},
-		"one was cut off meanwhile": func(f *restoredFleet) []membership.NodeID {
+		"one node is cut off meanwhile": func(f *restoredFleet) []membership.NodeID {
 			alone := f.Machines()[5]
 			f.Cut(between(func(m *simulation.Machine) bool { return m.Name == alone }))
 			f.Platform.SetUnheard(func(m *simulation.Machine) bool { return m.Name == alone })
 			f.Run(time.Second)
-			f.restore(copied, lost)
-			f.entered(alone)
+			f.restore(backupNumber, lostRevisions)
+			f.checkEpochEntered(alone)
 			f.Run(5 * time.Second)
 			f.Cut(nil)
 			f.Platform.SetUnheard(nil)
 			f.Run(3 * time.Second)
-			f.entered()
+			f.checkEpochEntered()
 			return nil
 		},
-		"some were suspended meanwhile": func(f *restoredFleet) []membership.NodeID {
+		"some nodes are suspended meanwhile": func(f *restoredFleet) []membership.NodeID {
 			asleep := f.Machines()[:3]
 			for _, name := range asleep {
 				f.Pause(name, 6*time.Second)
 			}
-			f.restore(copied, lost)
-			f.entered(asleep...)
+			f.restore(backupNumber, lostRevisions)
+			f.checkEpochEntered(asleep...)
 			return asleep
 		},
 	}
-	runDrills(t, drills, 13, 80)
-	largest := make(map[string]drill)
-	for _, name := range []string{"away for 5 s", "again, from an older copy", "half of the zones see it 3 s later", "processes end and start"} {
-		largest[name] = drills[name]
+	runRestoreCases(t, cases, 13, 80)
+	largest := make(map[string]restoreCase)
+	for _, name := range []string{"source unavailable for 5 s", "again, from an older backup", "half of the zones see it 3 s later", "processes restart"} {
+		largest[name] = cases[name]
 	}
-	runDrills(t, largest, 300)
+	runRestoreCases(t, largest, 300)
 }
 
-// TestRestoreWhileHalfOfTheZonesCannotRead: the same while the source refuses half of the zones, or
-// leaves them without an answer.
+// TestRestoreWhileHalfOfTheZonesCannotRead checks the same while the source refuses the reads of
+// half of the zones, or does not answer them.
 func TestRestoreWhileHalfOfTheZonesCannotRead(t *testing.T) {
-	runDrills(t, map[string]drill{
+	runRestoreCases(t, map[string]restoreCase{
 		"half of the zones are refused": func(f *restoredFleet) []membership.NodeID {
-			f.Platform.SetTreatment(func(m *simulation.Machine) simulation.Treatment {
-				return simulation.Treatment{Busy: inFirstZones(m), RetryAfter: 2 * time.Second}
+			f.Platform.SetBehavior(func(m *simulation.Machine) simulation.Behavior {
+				return simulation.Behavior{Busy: inFirstZones(m), RetryAfter: 2 * time.Second}
 			})
 			f.Run(2 * time.Second)
-			f.restore(copied, lost)
-			f.entered()
+			f.restore(backupNumber, lostRevisions)
+			f.checkEpochEntered()
 			return nil
 		},
 		"half of the zones are not answered": func(f *restoredFleet) []membership.NodeID {
 			f.Platform.SetUnheard(inFirstZones)
 			f.Run(4 * time.Second)
-			f.restore(copied, lost)
-			f.entered()
+			f.restore(backupNumber, lostRevisions)
+			f.checkEpochEntered()
 			return nil
 		},
 	}, 13, 80, 300)
--- a/internal/distribution/restore_test.go
+++ b/internal/distribution/restore_test.go
@@ -14,8 +14,8 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// numbered is a document with the operators' number of its configuration.
-func numbered(revision snapshot.Revision, number uint64, instances ...string) *snapshot.Document {
+// numberedDocument returns a document whose configuration has the given number.
+func numberedDocument(revision snapshot.Revision, number uint64, instances ...string) *snapshot.Document {
 	content := snapshot.Content{
 		Revision: revision, Origin: snapshot.Origin{Number: number, Epoch: revision.Epoch()},
 		Services: []snapshot.Service{{Name: "a", Slots: int(number)}},
@@ -25,19 +25,20 @@
 	}
 	result, err := snapshot.NewDocument(content)
 	if err != nil {
-		panic(err) // the test's own content
+		panic(err) // the content is fixed by the test
 	}
 	return result
 }
 
-// originlessBuild is the engine of a build that knows no origins of configurations.
-type originlessBuild struct{ engine *distribution.Engine }
+// buildWithoutOrigins simulates the engine of a build that does not know the origins of
+// configurations.
+type buildWithoutOrigins struct{ engine *distribution.Engine }
 
 // NextWake implements simulation.Participant.
-func (b originlessBuild) NextWake() time.Time { return b.engine.NextWake() }
+func (b buildWithoutOrigins) NextWake() time.Time { return b.engine.NextWake() }
 
 // Handle implements simulation.Participant.
-func (b originlessBuild) Handle(now time.Time, event distribution.Event) []distribution.Action {
+func (b buildWithoutOrigins) Handle(now time.Time, event distribution.Event) []distribution.Action {
 	actions := b.engine.Handle(now, event)
 	for i, action := range actions {
 		if send, ok := action.(distribution.Send); ok && send.Type == wire.TypeHello {
@@ -52,11 +53,11 @@
 	return actions
 }
 
-// TestFleetKeepsItsConfigurationOverARestore: a source is restored from a copy with an older
-// configuration than the fleet has in force. All nodes take the copy's instances at once and keep
-// their configuration, those too that start meanwhile; what is written next reaches all, and
-// nobody goes back.
-func TestFleetKeepsItsConfigurationOverARestore(t *testing.T) {
+// TestConfigurationIsKeptAcrossRestore checks that the fleet keeps its configuration when the source
+// is restored from a backup with an older one. All nodes, including one that starts meanwhile,
+// adopt the instances from the backup at once. Later configurations reach all nodes, and no node
+// goes back to an older version.
+func TestConfigurationIsKeptAcrossRestore(t *testing.T) {
 	const (
 		zones  = 4
 		within = 1500 * time.Millisecond
@@ -68,40 +69,40 @@
 				Seed: uint64(size), Timing: distribution.DefaultTiming().ForCurrentSource(), ReadersPerZone: 1, SourceIsCurrent: true,
 				Latency: 2 * time.Millisecond, AdoptDelay: 10 * time.Millisecond,
 			})
-			f.Platform.Publish(numbered(snapshot.NewRevision(1, 10), 1, "i-1"), "")
+			f.Platform.Publish(numberedDocument(snapshot.NewRevision(1, 10), 1, "i-1"), "")
 			for i := range size {
 				f.Start(simulation.Machine{Name: membership.NodeID(fmt.Sprintf("node-%03d", i)), Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r"}, nil)
 			}
 			holds := func(version snapshot.Version) func() bool { return func() bool { return f.AllHold(version) } }
 			c.Assert(f.RunUntil(10*time.Second, holds(f.Platform.Current())), qt.IsTrue)
 			f.Run(10 * time.Second)
-			f.Platform.Publish(numbered(snapshot.NewRevision(1, 90), 20, "i-1"), "")
+			f.Platform.Publish(numberedDocument(snapshot.NewRevision(1, 90), 20, "i-1"), "")
 			c.Assert(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue)
 
 			f.Platform.SetDown(true)
 			f.Run(500 * time.Millisecond)
 			f.Platform.SetDown(false)
-			kept, err := f.Platform.Restore(numbered(snapshot.NewRevision(2, 30), 17, "i-1", "i-2"))
+			kept, err := f.Platform.Restore(numberedDocument(snapshot.NewRevision(2, 30), 17, "i-1", "i-2"))
 			c.Assert(err, qt.IsNil)
 			c.Assert(kept.Version().Revision.IsKeeping(), qt.IsTrue)
-			c.Assert(f.RunUntil(5*time.Second, holds(kept.Version())), qt.IsTrue, qt.Commentf("the copy"))
+			c.Assert(f.RunUntil(5*time.Second, holds(kept.Version())), qt.IsTrue, qt.Commentf("the restored source"))
 			f.Kill(f.Machines()[1])
 			f.Run(100 * time.Millisecond)
 			f.Restart(f.Machines()[1])
 			c.Check(f.RunUntil(5*time.Second, holds(kept.Version())), qt.IsTrue, qt.Commentf("a node that starts"))
-			f.Platform.Publish(numbered(snapshot.NewRevision(2, 31), 20, "i-1", "i-2"), "")
-			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("what is written again"))
-			f.Platform.Publish(numbered(snapshot.NewRevision(2, 32), 21, "i-2"), "")
-			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("what is written next"))
+			f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 31), 20, "i-1", "i-2"), "")
+			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("the configuration written again"))
+			f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 32), 21, "i-2"), "")
+			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("the next configuration"))
 			c.Check(f.Broken(), qt.HasLen, 0)
 		})
 	}
 }
 
-// TestRestoreWhileABuildWithoutOriginsIsUpdated: nodes of a build that knows no origins take the
-// copy's configuration for newer, as they did before; they stay in the fleet, and what is written
-// next reaches all.
-func TestRestoreWhileABuildWithoutOriginsIsUpdated(t *testing.T) {
+// TestRestoreDuringUpgradeFromBuildWithoutOrigins checks a restore while half of the nodes run a
+// build without origins. Those adopt the configuration in the backup as a newer one; they stay in
+// the fleet, and the next configuration reaches all nodes.
+func TestRestoreDuringUpgradeFromBuildWithoutOrigins(t *testing.T) {
 	const (
 		nodes, zones = 12, 3
 		within       = 5 * time.Second
@@ -111,30 +112,30 @@
 		Seed: 1, Timing: distribution.DefaultTiming().ForCurrentSource(), ReadersPerZone: 1, SourceIsCurrent: true,
 		Latency: 2 * time.Millisecond, AdoptDelay: 10 * time.Millisecond,
 	})
-	f.Platform.Publish(numbered(snapshot.NewRevision(1, 90), 20, "i-1"), "")
+	f.Platform.Publish(numberedDocument(snapshot.NewRevision(1, 90), 20, "i-1"), "")
 	for i := range nodes {
 		var wrap func(*distribution.Engine) simulation.Participant
 		if i%2 == 1 {
-			wrap = func(engine *distribution.Engine) simulation.Participant { return originlessBuild{engine} }
+			wrap = func(engine *distribution.Engine) simulation.Participant { return buildWithoutOrigins{engine} }
 		}
 		f.Start(simulation.Machine{Name: membership.NodeID(fmt.Sprintf("node-%02d", i)), Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r"}, wrap)
 	}
 	allHold := func() bool { return f.AllHold(f.Platform.Current()) }
 	c.Assert(f.RunUntil(within, allHold), qt.IsTrue)
 	f.Run(10 * time.Second)
-	_, err := f.Platform.Restore(numbered(snapshot.NewRevision(2, 30), 17, "i-1", "i-2"))
+	_, err := f.Platform.Restore(numberedDocument(snapshot.NewRevision(2, 30), 17, "i-1", "i-2"))
 	c.Assert(err, qt.IsNil)
 	f.Run(within)
-	f.Platform.Publish(numbered(snapshot.NewRevision(2, 31), 20, "i-1", "i-2"), "")
+	f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 31), 20, "i-1", "i-2"), "")
 	c.Check(f.RunUntil(within, allHold), qt.IsTrue)
 	c.Check(f.Broken(), qt.HasLen, 0)
 }
 
-// TestUpdateOfReadersThatKnowNoEpochs: while an update is rolled out, readers of the former build
-// number what they read without the epoch, so that it counts for older than what a reader of the
-// next build has brought. A fleet whose only reader with epochs left the source to them again would
-// have got no change any more.
-func TestUpdateOfReadersThatKnowNoEpochs(t *testing.T) {
+// TestUpgradeFromReadersWithoutEpochs checks that changes reach all nodes during an upgrade from a
+// build without epochs. Readers of that build omit the epoch from revisions, which then count as
+// older than those from a reader of the new build. If the only reader with epochs left reading to
+// them, the fleet would get no more changes.
+func TestUpgradeFromReadersWithoutEpochs(t *testing.T) {
 	const (
 		nodes, zones = 12, 3
 		within       = 5 * time.Second
@@ -149,21 +150,21 @@
 		isFormer := func(i int) bool { return i%4 != 0 }
 		former := make(map[membership.NodeID]bool)
 		publish := func(number uint64) {
-			f.Platform.Know(numbered(snapshot.NewRevision(0, number), number, "i-1"))
-			f.Platform.SetTreatment(func(m *simulation.Machine) simulation.Treatment {
+			f.Platform.AddPublished(numberedDocument(snapshot.NewRevision(0, number), number, "i-1"))
+			f.Platform.SetBehavior(func(m *simulation.Machine) simulation.Behavior {
 				if former[m.Name] {
-					return simulation.Treatment{Behind: numbered(snapshot.NewRevision(0, number), number, "i-1")}
+					return simulation.Behavior{Stale: numberedDocument(snapshot.NewRevision(0, number), number, "i-1")}
 				}
-				return simulation.Treatment{}
+				return simulation.Behavior{}
 			})
-			f.Platform.Publish(numbered(snapshot.NewRevision(1, number), number, "i-1"), "")
+			f.Platform.Publish(numberedDocument(snapshot.NewRevision(1, number), number, "i-1"), "")
 		}
 		publish(1)
 		for i := range nodes {
 			name := membership.NodeID(fmt.Sprintf("node-%d-%02d", seed, i))
 			var wrap func(*distribution.Engine) simulation.Participant
 			if former[name] = isFormer(i); former[name] {
-				wrap = func(engine *distribution.Engine) simulation.Participant { return originlessBuild{engine} }
+				wrap = func(engine *distribution.Engine) simulation.Participant { return buildWithoutOrigins{engine} }
 			}
 			f.Start(simulation.Machine{Name: name, Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r"}, wrap)
 		}
@@ -177,7 +178,7 @@
 		}
 		c.Assert(f.RunUntil(within, holdContent), qt.IsTrue, qt.Commentf("seed %d: the start", seed))
 		f.Run(10 * time.Second)
-		for _, name := range f.Machines() { // the others read meanwhile
+		for _, name := range f.Machines() { // nodes of the new build read meanwhile
 			if former[name] {
 				f.Kill(name)
 			}
--- a/internal/distribution/selection.go
+++ b/internal/distribution/selection.go
@@ -6,35 +6,35 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// The links that a node dials. Only the gateways of a zone dial nodes of other zones
-// and regions, so that what crosses zones does not grow with the nodes of a zone.
+// The number of links that a node dials. Only the gateways of a zone dial nodes in other
+// zones and regions, so that traffic between zones does not grow with the size of a zone.
 const (
 	zoneLinks   = 2
 	regionLinks = 1
 	remoteLinks = 1
-	leastLinks  = 3 // in all, where zones or regions are too small
+	leastLinks  = 3 // in total, if zones or regions are too small for the numbers above
 )
 
-// maxUnanswered bounds the dials on their way, so that slow answers do not bring
-// ever more dials.
-const maxUnanswered = 6
+// maxPendingDials bounds the unanswered dials, so that slow answers do not cause ever more
+// dials.
+const maxPendingDials = 6
 
-// doubtfulIntervals is how many of the peer's heartbeat intervals may pass before
-// a link is no longer relied on.
-const doubtfulIntervals = 1.3
+// unreliableAfterIntervals is how many of the peer's heartbeat intervals of silence make a
+// link unreliable.
+const unreliableAfterIntervals = 1.3
 
-// distance tells how far away a peer is.
+// distance classifies peers by zone and region.
 type distance uint8
 
 const (
 	distanceZone   distance = 0 // same zone
 	distanceRegion distance = 1 // same region, other zone
 	distanceRemote distance = 2 // other region
-	distances               = 3
+	distanceCount           = 3
 )
 
-// dial opens a link to a member. After every second failure the address in the
-// platform's list is tried, where it differs.
+// dial opens a link to a member. After an odd number of failures it uses the address from
+// the platform's list, if there is one, in place of the address in the member's record.
 func (e *Engine) dial(member *membership.Member, probe bool) {
 	record := &member.Record
 	address := record.PeerAddress
@@ -61,12 +61,12 @@
 // mayDial reports whether a member is a candidate for a new ordinary link.
 func (e *Engine) mayDial(member *membership.Member) bool {
 	p := e.overlay.peers[member.Record.Node]
-	return e.mayDialStanding(member) && (p == nil || !e.now.Before(p.fullUntil))
+	return e.mayDialStandingLink(member) && (p == nil || !e.now.Before(p.fullUntil))
 }
 
-// mayDialStanding reports whether a member is a candidate for a new link that peers take beyond
-// their bound of ordinary ones.
-func (e *Engine) mayDialStanding(member *membership.Member) bool {
+// mayDialStandingLink reports whether a member is a candidate for a new standing link. Peers
+// accept those beyond their limit of ordinary links.
+func (e *Engine) mayDialStandingLink(member *membership.Member) bool {
 	record := &member.Record
 	if record.Node == e.options.Self.Node || member.Leaving || member.Suspected || record.PeerAddress == "" {
 		return false
@@ -86,46 +86,46 @@
 	}
 }
 
-// wantedLinks returns how many links to dial by distance.
-func (e *Engine) wantedLinks() [distances]int {
+// wantedLinks returns how many links this node dials for each distance.
+func (e *Engine) wantedLinks() [distanceCount]int {
 	if e.currentRanking().gateway {
-		return [distances]int{zoneLinks, regionLinks, remoteLinks}
+		return [distanceCount]int{zoneLinks, regionLinks, remoteLinks}
 	}
-	return [distances]int{zoneLinks, 0, 0}
+	return [distanceCount]int{zoneLinks, 0, 0}
 }
 
-// dialGroup links the nodes of the reader group with each other.
+// dialGroup dials the other nodes of the reader group if this node is in it.
 func (e *Engine) dialGroup() {
 	current := e.currentRanking()
 	if !current.inGroup(e.options.Self.Node) {
 		return
 	}
-	e.dialEach(current.group)
+	e.dialNodes(current.group)
 }
 
-// dialCandidates links a reader that may lead with those before it. In a fleet that starts, most nodes
-// take themselves for one until they read.
+// dialCandidates dials the lead candidates that take precedence over this node. Only readers
+// do so: in a fleet that starts, most nodes take themselves for candidates until they read.
 func (e *Engine) dialCandidates() {
 	if !e.reading.active {
 		return
 	}
-	before, _ := e.currentRanking().leadBefore(e.options.Self.Node)
-	e.dialEach(before)
+	before, _ := e.currentRanking().candidatesBefore(e.options.Self.Node)
+	e.dialNodes(before)
 }
 
-// dialEach dials the nodes of standing links that are missing.
-func (e *Engine) dialEach(nodes []membership.NodeID) {
+// dialNodes opens the missing standing links to some nodes.
+func (e *Engine) dialNodes(nodes []membership.NodeID) {
 	for _, node := range nodes {
 		member, known := e.view.Member(node)
-		if known && e.mayDialStanding(&member) && e.overlay.linkTo(node) == nil {
+		if known && e.mayDialStandingLink(&member) && e.overlay.linkTo(node) == nil {
 			e.dial(&member, false)
 		}
 	}
 }
 
-// dialSuccessor keeps a link to the next node of the own zone on a ring of
-// hashes. So each node has a neighbour that dials it: one that comes back without
-// the list, when all that had links to it are gone as well, is found again.
+// dialSuccessor keeps a link to the next node of this node's zone on a hash ring, so that
+// each node has a neighbour that dials it. A node that restarts without the list, after all
+// nodes with links to it are gone as well, is thus found again.
 func (e *Engine) dialSuccessor() {
 	member := e.successor()
 	if member != nil && e.overlay.linkTo(member.Record.Node) == nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// successor returns the next node of the own zone on the ring that may be linked,
+// successor returns the next node of this node's zone on the ring that may be dialled, or
 // nil if there is none.
 func (e *Engine) successor() *membership.Member {
 	own := rank(saltRing, e.options.Self.Node)
@@ -152,25 +152,25 @@
 	return next
 }
 
-// dialWanted fills up the links to each distance in the order of the own
-// rendezvous hash. Links dialled before are kept.
+// dialWanted dials the missing links for each distance, in the order of this node's
+// rendezvous hash. Existing links are kept.
 func (e *Engine) dialWanted() {
 	wanted := e.wantedLinks()
 	counts := e.countOutgoing()
-	for d := range distances {
+	for d := range distanceCount {
 		if missing := wanted[d] - counts[d]; missing > 0 {
 			e.dialNearest(missing, func(member *membership.Member) bool {
 				return e.distanceTo(member.Record.Zone, member.Record.Region) == distance(d)
 			})
 		}
 	}
-	if missing := leastLinks - e.countSound(); missing > 0 {
+	if missing := leastLinks - e.countReliable(); missing > 0 {
 		e.dialNearest(missing, func(*membership.Member) bool { return true })
 	}
 }
 
-// countUnanswered counts the dials on their way, late ones included.
-func (e *Engine) countUnanswered() int {
+// countPendingDials counts the links that are not up yet, overdue ones included.
+func (e *Engine) countPendingDials() int {
 	count := 0
 	for _, l := range e.overlay.order {
 		if !l.probe && l.phase != phaseUp {
@@ -180,42 +180,44 @@
 	return count
 }
 
-func (e *Engine) countSound() int {
+// countReliable counts the reliable links of any direction.
+func (e *Engine) countReliable() int {
 	count := 0
 	for _, l := range e.overlay.order {
-		if !l.probe && e.isSound(l) {
+		if !l.probe && e.isReliable(l) {
 			count++
 		}
 	}
 	return count
 }
 
-func (e *Engine) countOutgoing() (counts [distances]int) {
+// countOutgoing counts the reliable ordinary links that this node dialled, by distance.
+func (e *Engine) countOutgoing() (counts [distanceCount]int) {
 	for _, l := range e.overlay.order {
-		if l.outgoing && !l.probe && !e.isStandingLink(l) && e.isSound(l) {
+		if l.outgoing && !l.probe && !e.isStandingLink(l) && e.isReliable(l) {
 			counts[e.distanceTo(l.zone, l.region)]++
 		}
 	}
 	return counts
 }
 
-// isSound reports whether a link can be relied on. One that missed a heartbeat, or
-// whose peer takes long to answer, is replaced before it counts as dead, so that a
-// node all of whose peers sleep is not cut off from changes for long.
-func (e *Engine) isSound(l *link) bool {
+// isReliable reports whether a link counts towards those wanted. A link that missed a
+// heartbeat, or whose peer is slow to answer the dial, is replaced before it counts as dead,
+// so that a node all of whose peers are suspended misses changes for a short time only.
+func (e *Engine) isReliable(l *link) bool {
 	if e.isLate() {
-		return true // more dials would take more of the processor time that is short
+		return true // this process is short of CPU time, and more dials would use more of it
 	}
 	if l.phase != phaseUp {
 		return e.now.Before(l.openedAt.Add(e.timing.AnswerTime))
 	}
-	return e.now.Before(l.lastReceived.Add(time.Duration(doubtfulIntervals * float64(l.peerInterval))))
+	return e.now.Before(l.lastReceived.Add(time.Duration(unreliableAfterIntervals * float64(l.peerInterval))))
 }
 
-// dialNearest dials the first of the accepted members in rank; a member that is
-// linked already counts as dialled.
+// dialNearest dials the first accepted members in rank. A member with an incoming link
+// counts as dialled.
 func (e *Engine) dialNearest(count int, accept func(*membership.Member) bool) {
-	count = min(count, maxUnanswered-e.countUnanswered())
+	count = min(count, maxPendingDials-e.countPendingDials())
 	for _, candidate := range e.candidates(count, accept) {
 		if e.overlay.linkTo(candidate.node) == nil {
 			member, _ := e.view.Member(candidate.node)
@@ -224,8 +226,8 @@
 	}
 }
 
-// candidates returns the accepted members that may be dialled, or are linked, in
-// the order of the own rendezvous hash.
+// candidates returns the first accepted members that may be dialled or have an incoming
+// link, in the order of this node's rendezvous hash.
 func (e *Engine) candidates(count int, accept func(*membership.Member) bool) []rankedNode {
 	ranked := firstNodes{limit: max(count, 0)}
 	salt := string(e.options.Self.Node) + "\x00"
@@ -234,8 +236,8 @@
 			continue
 		}
 		node := member.Record.Node
-		if l := e.overlay.linkTo(node); l != nil && (!e.isSound(l) || l.outgoing && !e.isStandingLink(l)) {
-			continue // not relied on, or counted already
+		if l := e.overlay.linkTo(node); l != nil && (!e.isReliable(l) || l.outgoing && !e.isStandingLink(l)) {
+			continue // unreliable, or counted already
 		}
 		ranked.add(rankedNode{node: node, rank: rank(salt, node)})
 	}
--- a/internal/distribution/simulation/fleet.go
+++ b/internal/distribution/simulation/fleet.go
@@ -1,7 +1,8 @@
-// Package simulation runs many distribution engines in one goroutine under
-// virtual time, over a network and a platform that fail on demand. A run depends
-// on its seed alone. It checks the promises of the project at every adoption. It
-// is for tests and the bench; it opens no sockets.
+// Package simulation runs many distribution engines in one goroutine in virtual time, over a
+// simulated network and platform that fail on demand. A run is determined by its seed. Each
+// adoption is checked against invariants: a version is never replaced by one that is not
+// newer, and only complete published documents are adopted. It is for tests and the bench;
+// it opens no sockets.
 package simulation
 
 import (
@@ -16,34 +17,35 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// Participant is what runs on a simulated machine: an Engine, or something that
-// wraps one and misbehaves.
+// Participant is what runs on a simulated machine: an Engine, or a wrapper that changes what
+// one does.
 type Participant interface {
 	Handle(now time.Time, event distribution.Event) []distribution.Action
 	NextWake() time.Time
 }
 
-// Options sets up a Fleet.
+// Options configures a Fleet.
 type Options struct {
 	Seed uint64
-	// Timing is that of all engines; zero takes the default.
+	// Timing is used by all engines; zero takes the default.
 	Timing distribution.Timing
-	// Latency is the mean delay of a message; each takes 0.5 to 1.5 times as long.
+	// Latency is the mean delay of a message; each takes 0.5 to 1.5 times the mean.
 	Latency time.Duration
-	// AdoptDelay is the longest time that putting a document in force takes.
+	// AdoptDelay is the mean time that putting a document in force takes.
 	AdoptDelay time.Duration
-	// ListLag is how old the platform's list is.
+	// ListLag is how long a change takes to show in the platform's list.
 	ListLag time.Duration
-	// ListDelay is how long the platform takes to answer for the list.
+	// ListDelay is how long the platform takes to answer a read of the list.
 	ListDelay      time.Duration
 	ReadersPerZone int
-	// SourceIsCurrent says that the source never serves an old revision.
+	// SourceIsCurrent tells the engines that the source never serves an old revision.
 	SourceIsCurrent bool
 	MaxLinks        int
-	// LinkRate is what a machine's link carries towards its peers, in bytes a second; zero:
-	// any. Small frames that need no order pass large ones, but for one part of these.
+	// LinkRate is the bandwidth of a machine's link towards its peers, in bytes per second; zero
+	// means unlimited. Small urgent frames overtake large ones, which are sent in parts, and
+	// wait for one part at most.
 	LinkRate int64
-	// Duplicates is the share of messages that arrive twice.
+	// Duplicates is the fraction of messages that are delivered twice.
 	Duplicates float64
 }
 
@@ -51,23 +53,23 @@
 type Fleet struct {
 	// Platform is the source and the membership list.
 	Platform *Platform
-	// OnAdopt, if set, is told of each version that a machine puts in force.
+	// OnAdopt, if set, is called for each version that a machine puts in force.
 	OnAdopt func(name membership.NodeID, version snapshot.Version)
 
-	options   Options
-	random    *rand.Rand
-	start     time.Time
-	now       time.Time
-	queue     eventQueue
-	sequence  uint64
-	processes map[membership.NodeID]*process
-	names     []membership.NodeID
-	links     map[endpoint]*connection
-	cut       func(a, b *Machine) bool
-	broken    []string
+	options    Options
+	random     *rand.Rand
+	start      time.Time
+	now        time.Time
+	queue      eventQueue
+	sequence   uint64
+	processes  map[membership.NodeID]*process
+	names      []membership.NodeID
+	links      map[endpoint]*connection
+	cut        func(a, b *Machine) bool
+	violations []string
 }
 
-// Machine is where a process runs.
+// Machine identifies a simulated machine and its location.
 type Machine struct {
 	Name   membership.NodeID
 	Zone   string
@@ -93,15 +95,15 @@
 	return f
 }
 
-// event is something that happens at a virtual time.
+// event is a function to run at a virtual time.
 type event struct {
 	at       time.Time
 	sequence uint64
 	run      func()
 }
 
-// eventQueue is a heap of events by time (container/heap); events of one time
-// keep their order.
+// eventQueue is a heap of events by time (container/heap). Events of the same time run in the
+// order in which they were added.
 type eventQueue []event
 
 func (q eventQueue) Len() int      { return len(q) }
@@ -119,7 +121,7 @@
 	return last
 }
 
-// after runs a function once some virtual time has passed.
+// after schedules a function to run after a delay in virtual time.
 func (f *Fleet) after(delay time.Duration, run func()) {
 	f.sequence++
 	heap.Push(&f.queue, event{at: f.now.Add(delay), sequence: f.sequence, run: run})
@@ -128,13 +130,13 @@
 // Now returns the virtual time since the start.
 func (f *Fleet) Now() time.Duration { return f.now.Sub(f.start) }
 
-// Run lets virtual time pass.
+// Run advances virtual time by a duration.
 func (f *Fleet) Run(duration time.Duration) {
 	f.RunUntil(duration, func() bool { return false })
 }
 
-// RunUntil lets virtual time pass until done holds, at most limit, and reports
-// whether it does.
+// RunUntil advances virtual time until done returns true, by limit at most, and reports
+// whether it did.
 func (f *Fleet) RunUntil(limit time.Duration, done func() bool) bool {
 	end := f.now.Add(limit)
 	for !done() {
@@ -149,15 +151,15 @@
 	return true
 }
 
-// Broken returns the promises that were broken so far, as sentences.
-func (f *Fleet) Broken() []string { return f.broken }
+// Broken returns a description of each invariant violation so far.
+func (f *Fleet) Broken() []string { return f.violations }
 
-func (f *Fleet) breach(format string, arguments ...any) {
-	f.broken = append(f.broken, f.Now().String()+": "+fmt.Sprintf(format, arguments...))
+func (f *Fleet) reportViolation(format string, arguments ...any) {
+	f.violations = append(f.violations, f.Now().String()+": "+fmt.Sprintf(format, arguments...))
 }
 
-// Cut decides from now on which machines cannot reach each other; nil: all can.
-// What is sent over a cut arrives once it ends, if the link still stands.
+// Cut sets which pairs of machines cannot reach each other; nil means that all can. Frames
+// sent across a cut are delivered when it ends, if the link still exists.
 func (f *Fleet) Cut(cut func(a, b *Machine) bool) {
 	if cut == nil {
 		cut = func(_, _ *Machine) bool { return false }
@@ -168,20 +170,19 @@
 	}
 }
 
-// Machines returns the names of all machines in the order of their start.
+// Machines returns the names of all machines in the order in which they were started.
 func (f *Fleet) Machines() []membership.NodeID { return slices.Clone(f.names) }
 
-// Machine returns where a process runs.
+// Machine returns the machine with a name.
 func (f *Fleet) Machine(name membership.NodeID) *Machine { return f.processes[name].machine }
 
-// Held returns the version in force on a machine, and whether a process runs
-// there.
+// Held returns the version in force on a machine, and whether its process is running.
 func (f *Fleet) Held(name membership.NodeID) (snapshot.Version, bool) {
 	p := f.processes[name]
 	return p.held, p.alive
 }
 
-// AllHold reports whether every running process holds the version.
+// AllHold reports whether every running process has the version in force.
 func (f *Fleet) AllHold(version snapshot.Version) bool {
 	for _, p := range f.processes {
 		if p.alive && p.held != version {
@@ -191,7 +192,7 @@
 	return true
 }
 
-// View returns what a machine's engine believes of the fleet.
+// View returns the view of the fleet that a machine's engine last reported.
 func (f *Fleet) View(name membership.NodeID) *membership.View { return f.processes[name].view }
 
 // Engine returns the engine of a machine.
--- a/internal/distribution/simulation/network.go
+++ b/internal/distribution/simulation/network.go
@@ -12,8 +12,8 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// maxUndelivered is how much may wait on a link to a peer that takes nothing
-// before the sender is told that the peer is slow.
+// maxUndelivered is how many bytes may be queued for a peer that reads nothing before the
+// sender closes the link because the peer is slow.
 const maxUndelivered = 16 << 10
 
 // endpoint is one end of a link.
@@ -28,22 +28,22 @@
 	sequence uint64
 	ends     [2]endpoint
 	closed   [2]bool
-	// lastAt keeps what is sent to each end in order, urgentAt what passes large frames; held
-	// is what waits for the end of a cut.
+	// lastAt is when the last frame for each end arrives, urgentAt the last one that overtakes
+	// large frames; they keep frames in order. held is queued until the end of a cut.
 	lastAt   [2]time.Time
 	urgentAt [2]time.Time
 	held     [2][]transfer
 	bytes    [2]int
-	// greeted is set once the Hello of end 0, which dialled, has arrived.
-	greeted bool
-	// silent is set once nothing passes any more, for good and without a word.
+	// helloReceived is set once the Hello from end 0, which dialled, has arrived.
+	helloReceived bool
+	// silent is set once the link drops everything, permanently and without an error.
 	silent bool
 }
 
-// transfer is a frame, or the end of the stream when frame is nil.
+// transfer is a frame, or the end of the stream if frame is nil.
 type transfer struct {
-	frame []byte
-	again bool // a second arrival
+	frame     []byte
+	duplicate bool // delivered a second time
 }
 
 func (f *Fleet) sortedConnections() []*connection {
@@ -64,8 +64,7 @@
 	return peers
 }
 
-// SilenceLinks has all links fall silent that are open, without their ends knowing. New
-// ones work.
+// SilenceLinks makes all open links drop everything without telling their ends. New links work.
 func (f *Fleet) SilenceLinks() {
 	for _, c := range f.sortedConnections() {
 		c.silent = true
@@ -125,7 +124,7 @@
 	return 0, false
 }
 
-// close ends the stream from one end. The other end learns it after what was
+// close ends the stream from one end. The other end is told after it has received what was
 // sent before.
 func (c *connection) close(end int) {
 	if c.closed[end] {
@@ -136,7 +135,7 @@
 	c.transfer(end, transfer{})
 }
 
-// transfer sends from one end to the other.
+// transfer sends an item from one end to the other.
 func (c *connection) transfer(from int, item transfer) {
 	to := 1 - from
 	if c.closed[to] || c.silent {
@@ -146,23 +145,24 @@
 		c.held[to] = append(c.held[to], item)
 		c.bytes[to] += len(item.frame)
 		if c.bytes[to] > maxUndelivered && c.ends[to].process.slow && !c.closed[from] {
-			c.tooSlow(from)
+			c.closeAsSlow(from)
 		}
 		return
 	}
 	c.deliver(to, item)
-	if item.frame != nil && c.fleet.random.Float64() < c.fleet.options.Duplicates && c.greeted {
-		item.again = true
+	if item.frame != nil && c.fleet.random.Float64() < c.fleet.options.Duplicates && c.helloReceived {
+		item.duplicate = true
 		c.deliver(to, item)
 	}
 }
 
-// stalled reports whether nothing arrives at an end now.
+// stalled reports whether deliveries to an end are held back now.
 func (c *connection) stalled(to int) bool {
 	return c.ends[to].process.slow || c.fleet.cut(c.ends[0].process.machine, c.ends[1].process.machine)
 }
 
-func (c *connection) tooSlow(from int) {
+// closeAsSlow closes the connection from an end whose peer is slow, and tells that end.
+func (c *connection) closeAsSlow(from int) {
 	sender := c.ends[from]
 	c.held[1-from] = nil
 	c.close(from)
@@ -171,7 +171,7 @@
 	})
 }
 
-// release delivers what was held back, once nothing stalls it.
+// release delivers the queued items to each end that is no longer stalled.
 func (c *connection) release() {
 	for to := range c.ends {
 		if c.stalled(to) {
@@ -185,13 +185,13 @@
 	}
 }
 
-// deliver brings an item to an end, in the order in which items were sent.
+// deliver schedules the arrival of an item at an end, in the order of sending.
 func (c *connection) deliver(to int, item transfer) {
 	f := c.fleet
 	sender := c.ends[1-to].process
-	last, leaves := &c.lastAt[to], sender.leavesLink(len(item.frame))
-	if f.options.LinkRate > 0 && passesLargeFrames(item.frame) {
-		last, leaves = &c.urgentAt[to], sender.passesLink(len(item.frame))
+	last, leaves := &c.lastAt[to], sender.departureInOrder(len(item.frame))
+	if f.options.LinkRate > 0 && overtakesLargeFrames(item.frame) {
+		last, leaves = &c.urgentAt[to], sender.departureAhead(len(item.frame))
 	}
 	at := leaves.Add(f.jitter(f.options.Latency))
 	if at.Before(*last) {
@@ -201,8 +201,8 @@
 	f.forProcess(c.ends[to].process, at.Sub(f.now), func() { c.arrived(to, item) })
 }
 
-// passesLargeFrames reports whether a frame goes ahead of large ones on a link.
-func passesLargeFrames(frame []byte) bool {
+// overtakesLargeFrames reports whether a frame is sent ahead of large ones on a link.
+func overtakesLargeFrames(frame []byte) bool {
 	if len(frame) == 0 || len(frame) > wire.PartBytes {
 		return false
 	}
@@ -210,31 +210,33 @@
 	return err == nil && distribution.IsUrgent(message.Type())
 }
 
-// leavesLink returns when so many bytes have left a machine's link behind all others.
-func (p *process) leavesLink(bytes int) time.Time {
+// departureInOrder returns when a frame of some bytes has left a machine's link after all frames
+// queued before it.
+func (p *process) departureInOrder(bytes int) time.Time {
 	if p.fleet.options.LinkRate == 0 {
 		return p.fleet.now
 	}
-	if p.linkFree.Before(p.fleet.now) {
-		p.linkFree = p.fleet.now
+	if p.linkFreeAt.Before(p.fleet.now) {
+		p.linkFreeAt = p.fleet.now
 	}
-	p.linkFree = p.linkFree.Add(p.fleet.onLink(bytes))
-	return p.linkFree
+	p.linkFreeAt = p.linkFreeAt.Add(p.fleet.transmissionTime(bytes))
+	return p.linkFreeAt
 }
 
-// passesLink returns when so many bytes have left a machine's link behind one part of a large
-// frame.
-func (p *process) passesLink(bytes int) time.Time {
-	wait := min(max(p.linkFree.Sub(p.fleet.now), 0), p.fleet.onLink(wire.PartBytes))
-	p.leavesLink(bytes) // what waits goes out later by that
-	return p.fleet.now.Add(wait + p.fleet.onLink(bytes))
+// departureAhead returns when a frame of some bytes has left a machine's link after at most one
+// part of a large frame.
+func (p *process) departureAhead(bytes int) time.Time {
+	wait := min(max(p.linkFreeAt.Sub(p.fleet.now), 0), p.fleet.transmissionTime(wire.PartBytes))
+	p.departureInOrder(bytes) // delays the queued frames by as much
+	return p.fleet.now.Add(wait + p.fleet.transmissionTime(bytes))
 }
 
-// onLink is how long a machine's link takes for so many bytes.
-func (f *Fleet) onLink(bytes int) time.Duration {
+// transmissionTime returns how long a machine's link takes to send some bytes.
+func (f *Fleet) transmissionTime(bytes int) time.Duration {
 	return time.Duration(int64(bytes) * int64(time.Second) / f.options.LinkRate)
 }
 
+// arrived passes an item to the participant at an end.
 func (c *connection) arrived(to int, item transfer) {
 	if c.closed[to] {
 		return
@@ -249,25 +251,25 @@
 		c.drop(to, distribution.DownFault)
 		return
 	}
-	if item.again && message.Type() == wire.TypeHello {
-		return // a connection opens once
+	if item.duplicate && message.Type() == wire.TypeHello {
+		return // a connection is opened only once
 	}
-	if hello, ok := message.(*wire.Hello); ok && to == 1 && !c.greeted {
-		c.greeted = true
+	if hello, ok := message.(*wire.Hello); ok && to == 1 && !c.helloReceived {
+		c.helloReceived = true
 		end.process.handle(distribution.Accepted{Link: end.link, Hello: hello})
 		return
 	}
-	if to == 1 && !c.greeted {
+	if to == 1 && !c.helloReceived {
 		c.drop(to, distribution.DownFault)
 		return
 	}
 	end.process.handle(distribution.Message{Link: end.link, Message: message})
 }
 
-// drop ends the stream at an end that did not ask for it.
+// drop ends the stream at an end and reports it to the participant there.
 func (c *connection) drop(to int, cause distribution.DownCause) {
 	end := c.ends[to]
-	known := to == 0 || c.greeted
+	known := to == 0 || c.helloReceived
 	c.close(to)
 	if known {
 		end.process.handle(distribution.LinkDown{Link: end.link, Cause: cause})
--- a/internal/distribution/simulation/platform.go
+++ b/internal/distribution/simulation/platform.go
@@ -13,55 +13,55 @@
 	"github.com/winchhead/winchhead/internal/source"
 )
 
-// Platform is the configuration source and the membership list. Zones that it is
-// cut off from get no answer.
+// Platform simulates the configuration source and the membership list.
 type Platform struct {
-	fleet     *Fleet
-	published map[snapshot.Version]*snapshot.Document
-	current   *snapshot.Document
-	refused   map[snapshot.Version]error
-	down      bool
-	treatment func(*Machine) Treatment
-	stale     *snapshot.Document
-	waiting   []waitingRead
-	lists     []listAt
-	listReads []waitingList
-	maxReads  int
-	askedAt   map[membership.NodeID]time.Time
-	polls     int
-	pollsOf   map[membership.NodeID]int
-	fetches   int
-	changes   []snapshot.Change
+	fleet      *Fleet
+	published  map[snapshot.Version]*snapshot.Document
+	current    *snapshot.Document
+	refused    map[snapshot.Version]error
+	down       bool
+	behavior   func(*Machine) Behavior
+	stale      *snapshot.Document
+	waiting    []pendingPoll
+	lists      []listSnapshot
+	listReads  []pendingListRead
+	maxReaders int
+	lastPollAt map[membership.NodeID]time.Time
+	polls      int
+	pollsOf    map[membership.NodeID]int
+	fetches    int
+	changes    []snapshot.Change
 }
 
-type waitingRead struct {
+type pendingPoll struct {
 	process *process
 	action  distribution.AwaitSource
 }
 
-type waitingList struct {
+type pendingListRead struct {
 	process *process
 	action  distribution.FetchMembers
 }
 
-// listAt is the true list from a time on.
-type listAt struct {
+// listSnapshot is the list as of a time.
+type listSnapshot struct {
 	from    time.Time
 	members []membership.ListedMember
 }
 
 func newPlatform(f *Fleet) *Platform {
 	return &Platform{
-		fleet:     f,
-		published: make(map[snapshot.Version]*snapshot.Document),
-		refused:   make(map[snapshot.Version]error),
-		askedAt:   make(map[membership.NodeID]time.Time),
-		pollsOf:   make(map[membership.NodeID]int),
-		treatment: func(*Machine) Treatment { return Treatment{} },
+		fleet:      f,
+		published:  make(map[snapshot.Version]*snapshot.Document),
+		refused:    make(map[snapshot.Version]error),
+		lastPollAt: make(map[membership.NodeID]time.Time),
+		pollsOf:    make(map[membership.NodeID]int),
+		behavior:   func(*Machine) Behavior { return Behavior{} },
 	}
 }
 
-// Publish makes a document the current one. A reason makes every node refuse it.
+// Publish makes a document the current one. If reason is not empty, every node refuses the
+// document for that reason.
 func (p *Platform) Publish(document *snapshot.Document, reason string) {
 	p.published[document.Version()] = document
 	if reason != "" {
@@ -71,11 +71,13 @@
 	p.wakeReaders()
 }
 
-// Know takes a document for one that was published, though it is not the current one.
-func (p *Platform) Know(document *snapshot.Document) { p.published[document.Version()] = document }
+// AddPublished records a document as published without making it the current one.
+func (p *Platform) AddPublished(document *snapshot.Document) {
+	p.published[document.Version()] = document
+}
 
-// Restore makes the document of a source current that was restored from a copy, and returns the
-// document that nodes hold then which keep the configuration of the one before.
+// Restore makes a document current as that of a source restored from a backup. It returns the
+// document expected at nodes that keep their newer configuration.
 func (p *Platform) Restore(document *snapshot.Document) (*snapshot.Document, error) {
 	kept, err := document.KeepingNewerConfiguration(p.current)
 	if err != nil {
@@ -86,15 +88,14 @@
 	return kept, nil
 }
 
-// PublishChanges makes a document the current one that holds changes of instances: whoever
-// reads of it tells of them ahead of it.
+// PublishChanges makes a document with changes of instances the current one. A node that polls
+// the source learns of the changes ahead of the document.
 func (p *Platform) PublishChanges(document *snapshot.Document, changes ...snapshot.Change) {
 	p.changes = append(p.changes, changes...)
 	p.Publish(document, "")
 }
 
-// changesBetween are those that a reader learns of which knew of a revision and reads of
-// another.
+// changesBetween returns the changes after one revision, up to another.
 func (p *Platform) changesBetween(known, read snapshot.Revision) (found []snapshot.Change) {
 	for _, change := range p.changes {
 		if change.Revision > known && change.Revision <= read {
@@ -107,36 +108,36 @@
 // Current returns the version published last.
 func (p *Platform) Current() snapshot.Version { return p.current.Version() }
 
-// SetDown makes the source and the list fail at once, or work again.
+// SetDown makes all reads of the source and the list fail immediately, or work again.
 func (p *Platform) SetDown(down bool) { p.down = down }
 
-// SetStale makes the source serve an old document; nil ends it.
+// SetStale makes the source serve an old document; nil makes it serve the current one.
 func (p *Platform) SetStale(document *snapshot.Document) {
 	p.stale = document
 	p.wakeReaders()
 }
 
-// Treatment is what the platform does with the reads of one machine. The zero value
-// answers them.
-type Treatment struct {
-	// Silent leaves reads without any answer, those that wait already too.
+// Behavior is how the platform responds to the reads of one machine. The zero value answers
+// them normally.
+type Behavior struct {
+	// Silent leaves all reads unanswered, including those already waiting.
 	Silent bool
-	// Busy turns reads away at once, and asks to come back after RetryAfter.
+	// Busy rejects reads immediately and asks to retry after RetryAfter.
 	Busy       bool
 	RetryAfter time.Duration
-	// Reset ends reads at once without an answer.
+	// Reset ends reads immediately without an answer.
 	Reset bool
-	// Delay is how much later answers come.
+	// Delay is added to the time of each answer.
 	Delay time.Duration
-	// Behind answers with this document, an old one, in place of the current one.
-	Behind *snapshot.Document
+	// Stale, if set, is the old document that is served in place of the current one.
+	Stale *snapshot.Document
 }
 
-// fails tells how a read ends that the platform does not answer well; false if it does.
-func (t Treatment) fails() (source.Outcome, bool) {
+// fails returns the outcome of a read that is made to fail, or false if it succeeds.
+func (t Behavior) fails() (source.Outcome, bool) {
 	switch {
 	case t.Busy:
-		return source.Outcome{Status: source.StatusBusy, RetryAfter: t.RetryAfter, Err: eris.New("turned away")}, true
+		return source.Outcome{Status: source.StatusBusy, RetryAfter: t.RetryAfter, Err: eris.New("the platform is busy")}, true
 	case t.Reset:
 		return errUnreachable, true
 	default:
@@ -144,28 +145,28 @@
 	}
 }
 
-// SetTreatment decides from now on what becomes of the reads of each machine; nil
-// answers all. Reads that wait already end as the treatment says.
-func (p *Platform) SetTreatment(treatment func(*Machine) Treatment) {
-	if treatment == nil {
-		treatment = func(*Machine) Treatment { return Treatment{} }
+// SetBehavior sets how the platform responds to the reads of each machine; nil answers all
+// normally. It applies to reads that are already waiting as well.
+func (p *Platform) SetBehavior(behavior func(*Machine) Behavior) {
+	if behavior == nil {
+		behavior = func(*Machine) Behavior { return Behavior{} }
 	}
-	p.treatment = treatment
+	p.behavior = behavior
 	p.wakeReaders()
 }
 
-// SetUnheard leaves reads from some machines without any answer; nil: none.
+// SetUnheard leaves the reads of the selected machines unanswered; nil selects none.
 func (p *Platform) SetUnheard(unheard func(*Machine) bool) {
 	if unheard == nil {
-		p.SetTreatment(nil)
+		p.SetBehavior(nil)
 		return
 	}
-	p.SetTreatment(func(m *Machine) Treatment { return Treatment{Silent: unheard(m)} })
+	p.SetBehavior(func(m *Machine) Behavior { return Behavior{Silent: unheard(m)} })
 }
 
-func (p *Platform) isSilentTo(m *Machine) bool { return p.treatment(m).Silent }
+func (p *Platform) isSilentTo(m *Machine) bool { return p.behavior(m).Silent }
 
-// Readers returns how many processes await the source now.
+// Readers returns how many processes have a waiting poll of the source.
 func (p *Platform) Readers() int {
 	readers := make(map[*process]bool)
 	for _, read := range p.waiting {
@@ -176,13 +177,13 @@
 	return len(readers)
 }
 
-// MaxReaders returns the most readers at once since the start.
-func (p *Platform) MaxReaders() int { return p.maxReads }
+// MaxReaders returns the highest number of concurrent readers so far.
+func (p *Platform) MaxReaders() int { return p.maxReaders }
 
-// Asked returns how many machines asked the source within the last while.
+// Asked returns how many machines polled the source within the last window.
 func (p *Platform) Asked(window time.Duration) int {
 	count := 0
-	for _, at := range p.askedAt {
+	for _, at := range p.lastPollAt {
 		if p.fleet.now.Sub(at) <= window {
 			count++
 		}
@@ -190,20 +191,20 @@
 	return count
 }
 
-// Polls returns how often processes asked for a new revision.
+// Polls returns how often processes polled for a new revision.
 func (p *Platform) Polls() int { return p.polls }
 
-// PollsOf returns how often the processes of one machine did.
+// PollsOf returns how often the processes of one machine polled.
 func (p *Platform) PollsOf(name membership.NodeID) int { return p.pollsOf[name] }
 
-// Fetches returns how many whole documents were read.
+// Fetches returns how many documents were fetched.
 func (p *Platform) Fetches() int { return p.fetches }
 
 func (p *Platform) refusal(version snapshot.Version) error { return p.refused[version] }
 
 func (p *Platform) served(to *Machine) *snapshot.Document {
-	if behind := p.treatment(to).Behind; behind != nil {
-		return behind
+	if stale := p.behavior(to).Stale; stale != nil {
+		return stale
 	}
 	if p.stale != nil {
 		return p.stale
@@ -218,9 +219,9 @@
 	return snapshot.Version{}
 }
 
-// answer brings the answer to a request that was not cancelled.
+// answer delivers the answer to a request unless it is cancelled.
 func (p *Platform) answer(to *process, request distribution.RequestID, event distribution.Event) {
-	p.fleet.forProcess(to, p.fleet.jitter(p.fleet.options.Latency)+p.treatment(to.machine).Delay, func() {
+	p.fleet.forProcess(to, p.fleet.jitter(p.fleet.options.Latency)+p.behavior(to.machine).Delay, func() {
 		if to.requests[request] {
 			delete(to.requests, request)
 			to.handle(event)
@@ -228,10 +229,10 @@
 	})
 }
 
-var errUnreachable = source.Outcome{Status: source.StatusUnreachable, Err: eris.New("no answer")}
+var errUnreachable = source.Outcome{Status: source.StatusUnreachable, Err: eris.New("no answer from the platform")}
 
 func (p *Platform) await(from *process, action distribution.AwaitSource) {
-	p.askedAt[from.machine.Name] = p.fleet.now
+	p.lastPollAt[from.machine.Name] = p.fleet.now
 	p.polls++
 	p.pollsOf[from.machine.Name]++
 	from.requests[action.Request] = true
@@ -239,84 +240,85 @@
 		p.answer(from, action.Request, distribution.SourceRevision{Request: action.Request, Outcome: errUnreachable})
 		return
 	}
-	if outcome, fails := p.treatment(from.machine).fails(); fails {
+	if outcome, fails := p.behavior(from.machine).fails(); fails {
 		p.answer(from, action.Request, distribution.SourceRevision{Request: action.Request, Outcome: outcome})
 		return
 	}
-	if p.isSilentTo(from.machine) { // this read is never answered, also once others are
-		p.fleet.forProcess(from, action.Wait, func() { p.leaveUnanswered(from, action) })
+	if p.isSilentTo(from.machine) { // this read stays unanswered even if the behavior changes
+		p.fleet.forProcess(from, action.Wait, func() { p.timeOutPoll(from, action) })
 		return
 	}
-	if p.treatment(from.machine).Delay > 0 { // a late answer is not waited for
-		p.fleet.forProcess(from, action.Wait, func() { p.leaveUnanswered(from, action) })
+	if p.behavior(from.machine).Delay > 0 { // the reader gives up before a late answer
+		p.fleet.forProcess(from, action.Wait, func() { p.timeOutPoll(from, action) })
 	}
-	p.waiting = append(p.waiting, waitingRead{from, action})
-	p.maxReads = max(p.maxReads, p.Readers())
+	p.waiting = append(p.waiting, pendingPoll{from, action})
+	p.maxReaders = max(p.maxReaders, p.Readers())
 	p.wakeReaders()
 	p.fleet.forProcess(from, action.Wait, func() { p.finish(from, action) })
 }
 
-// leaveUnanswered has a reader give up a read whose time is over.
-func (p *Platform) leaveUnanswered(from *process, action distribution.AwaitSource) {
+// timeOutPoll makes a poll fail once its wait and SourceGrace are over.
+func (p *Platform) timeOutPoll(from *process, action distribution.AwaitSource) {
 	p.fleet.forProcess(from, p.fleet.options.Timing.SourceGrace, func() {
 		p.answer(from, action.Request, distribution.SourceRevision{Request: action.Request, Outcome: errUnreachable})
 	})
 }
 
-// finish answers a read that is still waiting.
+// finish answers a poll that is still waiting.
 func (p *Platform) finish(from *process, action distribution.AwaitSource) {
-	index := slices.Index(p.waiting, waitingRead{from, action})
+	index := slices.Index(p.waiting, pendingPoll{from, action})
 	if index < 0 {
 		return
 	}
 	p.waiting = slices.Delete(p.waiting, index, index+1)
 	if p.isSilentTo(from.machine) {
-		p.leaveUnanswered(from, action)
+		p.timeOutPoll(from, action)
 		return
 	}
 	outcome := source.Outcome{Status: source.StatusFresh}
 	if p.down {
 		outcome = errUnreachable
 	}
-	if failed, fails := p.treatment(from.machine).fails(); fails {
+	if failed, fails := p.behavior(from.machine).fails(); fails {
 		outcome = failed
 	}
 	version := p.servedVersion(from.machine)
 	if changes := p.changesBetween(action.After, version.Revision); outcome.Status == source.StatusFresh && len(changes) > 0 {
-		p.answerAlso(from, action.Request, distribution.FleetChangesRead{Changes: changes})
+		p.answerAhead(from, action.Request, distribution.FleetChangesRead{Changes: changes})
 	}
 	p.answer(from, action.Request, distribution.SourceRevision{Request: action.Request, Version: version, Outcome: outcome})
 }
 
-// answerAlso brings what a read tells besides its answer, at the earliest moment of that.
-func (p *Platform) answerAlso(to *process, request distribution.RequestID, event distribution.Event) {
-	p.fleet.forProcess(to, p.fleet.options.Latency/2+p.treatment(to.machine).Delay, func() {
+// answerAhead delivers an event that belongs to a request no later than its answer.
+func (p *Platform) answerAhead(to *process, request distribution.RequestID, event distribution.Event) {
+	p.fleet.forProcess(to, p.fleet.options.Latency/2+p.behavior(to.machine).Delay, func() {
 		if to.requests[request] {
 			to.handle(event)
 		}
 	})
 }
 
+// wakeReaders answers the waiting polls for which there is a newer version or a failure.
 func (p *Platform) wakeReaders() {
 	for _, read := range slices.Clone(p.waiting) {
-		treatment := p.treatment(read.process.machine)
-		_, fails := treatment.fails()
-		news := p.servedVersion(read.process.machine).Revision > read.action.After && !treatment.Silent
-		if news || fails || !read.process.requests[read.action.Request] {
+		behavior := p.behavior(read.process.machine)
+		_, fails := behavior.fails()
+		isNewer := p.servedVersion(read.process.machine).Revision > read.action.After && !behavior.Silent
+		if isNewer || fails || !read.process.requests[read.action.Request] {
 			p.finish(read.process, read.action)
 		}
 	}
 }
 
-// forget drops the reads of a process that ended.
+// forget drops the polls of a process that ended.
 func (p *Platform) forget(ended *process) {
-	p.waiting = slices.DeleteFunc(p.waiting, func(read waitingRead) bool { return read.process == ended })
+	p.waiting = slices.DeleteFunc(p.waiting, func(read pendingPoll) bool { return read.process == ended })
 }
 
 func (p *Platform) fetch(from *process, action distribution.FetchSource) {
 	from.requests[action.Request] = true
 	event := distribution.SourceDocument{Request: action.Request, Outcome: errUnreachable}
-	outcome, fails := p.treatment(from.machine).fails()
+	outcome, fails := p.behavior(from.machine).fails()
 	switch {
 	case p.down || p.isSilentTo(from.machine):
 	case fails:
@@ -329,8 +331,8 @@
 	p.answer(from, action.Request, event)
 }
 
-// listChanged notes the list as it is now, and answers those who await changes
-// once the platform shows it.
+// listChanged records the list as it is now, and answers waiting reads once the platform
+// shows it.
 func (p *Platform) listChanged() {
 	var members []membership.ListedMember
 	for _, name := range p.fleet.names {
@@ -341,7 +343,7 @@
 			})
 		}
 	}
-	p.lists = append(p.lists, listAt{from: p.fleet.now, members: members})
+	p.lists = append(p.lists, listSnapshot{from: p.fleet.now, members: members})
 	p.fleet.after(p.fleet.options.ListLag, func() {
 		waiting := p.listReads
 		p.listReads = nil
@@ -351,8 +353,8 @@
 	})
 }
 
-// shownList returns the list as it was ListLag ago, its revision and a tag of it.
-func (p *Platform) shownList() (members []membership.ListedMember, revision uint64, etag string) {
+// visibleList returns the list as it was ListLag ago, its revision and its entity tag.
+func (p *Platform) visibleList() (members []membership.ListedMember, revision uint64, etag string) {
 	shown := 0
 	for i, list := range p.lists {
 		if !list.from.After(p.fleet.now.Add(-p.fleet.options.ListLag)) {
@@ -368,16 +370,16 @@
 	}
 	from.requests[action.Request] = true
 	event := distribution.MembersListed{Request: action.Request, Outcome: errUnreachable}
-	if outcome, fails := p.treatment(from.machine).fails(); fails {
+	if outcome, fails := p.behavior(from.machine).fails(); fails {
 		event.Outcome = outcome
 	}
-	if p.down || p.isSilentTo(from.machine) || event.Outcome.Status == source.StatusBusy || p.treatment(from.machine).Reset {
+	if p.down || p.isSilentTo(from.machine) || event.Outcome.Status == source.StatusBusy || p.behavior(from.machine).Reset {
 		p.answer(from, action.Request, event)
 		return
 	}
-	members, revision, etag := p.shownList()
+	members, revision, etag := p.visibleList()
 	if etag == action.ETag {
-		p.listReads = append(p.listReads, waitingList{from, action})
+		p.listReads = append(p.listReads, pendingListRead{from, action})
 		p.fleet.forProcess(from, action.Wait, func() { p.listUnchanged(from, action) })
 		return
 	}
@@ -387,7 +389,7 @@
 }
 
 func (p *Platform) listUnchanged(from *process, action distribution.FetchMembers) {
-	index := slices.Index(p.listReads, waitingList{from, action})
+	index := slices.Index(p.listReads, pendingListRead{from, action})
 	if index < 0 {
 		return
 	}
--- a/internal/distribution/simulation/process.go
+++ b/internal/distribution/simulation/process.go
@@ -11,43 +11,43 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// maxSpins is how often a participant may ask to be woken at once in a row.
-const maxSpins = 100
+// maxImmediateWakeUps is how many times in a row a participant may ask to be woken immediately.
+const maxImmediateWakeUps = 100
 
-// process is what runs on a machine, one after the other under the same name.
+// process is the state of the process on a machine. A restart reuses it under the same name.
 type process struct {
 	fleet   *Fleet
 	machine *Machine
-	// life counts the processes of the machine, so that what was meant for an
-	// earlier one is dropped.
-	life        int
+	// generation counts the processes started on the machine. Scheduled functions of an
+	// earlier one are dropped.
+	generation  int
 	alive       bool
 	incarnation membership.Incarnation
 	participant Participant
 	engine      *distribution.Engine
 	wrap        func(*distribution.Engine) Participant
 	wakeAt      time.Time
-	// spins counts wake-ups in a row that ask for another one at the same time.
-	spins int
+	// immediateWakeUps counts consecutive wake-ups that ask for another one at the same time.
+	immediateWakeUps int
 
 	paused  bool
 	waiting []distribution.Event
 	slow    bool
 
 	held     snapshot.Version
-	changes  map[snapshot.Key]snapshot.Revision // learned ahead of documents
+	changes  map[snapshot.Key]snapshot.Revision // learned before the document that contains them
 	view     *membership.View
 	incoming distribution.LinkID
 	requests map[distribution.RequestID]bool
 
-	// linkFree is when all that was sent has left the machine's link.
-	linkFree time.Time
+	// linkFreeAt is when the machine's link has sent all queued frames.
+	linkFreeAt time.Time
 
 	sentFrames, sentBytes int64
 }
 
-// Start adds a machine and starts a process on it. wrap may make it misbehave;
-// nil runs the engine itself.
+// Start adds a machine and starts a process on it. wrap, if not nil, may wrap the engine in a
+// participant that misbehaves.
 func (f *Fleet) Start(machine Machine, wrap func(*distribution.Engine) Participant) {
 	p := &process{fleet: f, machine: &machine, wrap: wrap}
 	f.processes[machine.Name] = p
@@ -55,14 +55,14 @@
 	f.Restart(machine.Name)
 }
 
-// Restart starts a process on a machine whose process ended. It remembers
-// nothing.
+// Restart starts a new process on a machine whose process ended. It keeps no state of the
+// former one.
 func (f *Fleet) Restart(name membership.NodeID) {
 	p := f.processes[name]
 	if p.alive {
 		return
 	}
-	p.life++
+	p.generation++
 	p.alive, p.paused = true, false
 	p.waiting = nil
 	p.held = snapshot.Version{}
@@ -90,7 +90,7 @@
 	p.handle(distribution.Tick{})
 }
 
-// Kill ends a machine's process without a word.
+// Kill ends a machine's process without notice to its engine.
 func (f *Fleet) Kill(name membership.NodeID) {
 	p := f.processes[name]
 	if !p.alive {
@@ -106,13 +106,13 @@
 	}
 }
 
-// Stop ends a machine's process as planned.
+// Stop shuts a machine's process down in an orderly way.
 func (f *Fleet) Stop(name membership.NodeID) {
 	f.processes[name].handle(distribution.Stop{})
 	f.Kill(name)
 }
 
-// Pause stops a process for a while. What arrives meanwhile waits.
+// Pause suspends a process for a duration. Events are queued meanwhile.
 func (f *Fleet) Pause(name membership.NodeID, duration time.Duration) {
 	p := f.processes[name]
 	if !p.alive || p.paused {
@@ -129,34 +129,35 @@
 	})
 }
 
-// SetState publishes a state of a machine's own instance.
+// SetState sets the state that a machine publishes in its record.
 func (f *Fleet) SetState(name membership.NodeID, state membership.State) {
 	f.processes[name].handle(distribution.SelfState{State: state})
 }
 
-// TellCrashes has a machine find crashes of its instance.
+// TellCrashes makes a machine detect crashes of its instance.
 func (f *Fleet) TellCrashes(name membership.NodeID, crashes ...suspects.Crash) {
 	f.processes[name].handle(distribution.CrashesFound{Crashes: crashes})
 }
 
-// KnowsCrash reports whether a machine's process runs and holds the record of a crash.
+// KnowsCrash reports whether a machine's process is running and holds the record of a crash.
 func (f *Fleet) KnowsCrash(name membership.NodeID, id suspects.CrashID) bool {
 	p := f.processes[name]
 	return p.alive && slices.ContainsFunc(p.engine.Crashes(), func(crash suspects.Crash) bool { return crash.ID == id })
 }
 
-// ReadChanges has a machine read changes of instances from the source, ahead of a document.
+// ReadChanges makes a machine read changes of instances from the source, ahead of the
+// document.
 func (f *Fleet) ReadChanges(name membership.NodeID, changes ...snapshot.Change) {
 	f.processes[name].handle(distribution.FleetChangesRead{Changes: changes})
 }
 
-// KnowsChange reports whether a machine's process runs and has learned of a change.
+// KnowsChange reports whether a machine's process is running and has learned of a change.
 func (f *Fleet) KnowsChange(name membership.NodeID, change snapshot.Change) bool {
 	p := f.processes[name]
 	return p.alive && p.changes[change.Key] >= change.Revision
 }
 
-// SetSlow makes a machine stop, or go on, taking what peers send to it.
+// SetSlow makes a machine stop reading from its peers, or resume.
 func (f *Fleet) SetSlow(name membership.NodeID, slow bool) {
 	f.processes[name].slow = slow
 	for _, c := range f.sortedConnections() {
@@ -164,17 +165,17 @@
 	}
 }
 
-// forProcess runs a function later, unless the process has ended by then.
+// forProcess schedules a function, which is dropped if the process has ended by then.
 func (f *Fleet) forProcess(p *process, delay time.Duration, run func()) {
-	life := p.life
+	generation := p.generation
 	f.after(delay, func() {
-		if p.alive && p.life == life {
+		if p.alive && p.generation == generation {
 			run()
 		}
 	})
 }
 
-// handle gives an event to the participant and does what it asks for.
+// handle passes an event to the participant and performs the resulting actions.
 func (p *process) handle(event distribution.Event) {
 	if !p.alive {
 		return
@@ -191,7 +192,7 @@
 	p.schedule()
 }
 
-// schedule arranges for a Tick when the participant wants one.
+// schedule schedules a Tick for when the participant wants one.
 func (p *process) schedule() {
 	wake := p.participant.NextWake()
 	if wake.Equal(p.wakeAt) {
@@ -199,9 +200,9 @@
 	}
 	p.wakeAt = wake
 	if wake.After(p.fleet.now) {
-		p.spins = 0
-	} else if p.spins++; p.spins > maxSpins {
-		p.fleet.breach("%s wakes without end", p.machine.Name)
+		p.immediateWakeUps = 0
+	} else if p.immediateWakeUps++; p.immediateWakeUps > maxImmediateWakeUps {
+		p.fleet.reportViolation("%s keeps asking to be woken immediately", p.machine.Name)
 		p.wakeAt = p.fleet.now.Add(time.Second)
 		wake = p.wakeAt
 	}
@@ -242,7 +243,7 @@
 	}
 }
 
-// adopt puts a document in force after a while and checks the promises.
+// adopt puts a document in force after a delay and checks the invariants.
 func (p *process) adopt(document *snapshot.Document) {
 	f := p.fleet
 	f.forProcess(p, f.jitter(f.options.AdoptDelay), func() {
@@ -259,14 +260,15 @@
 	})
 }
 
+// check verifies that a document is newer than the one held and equals what was published.
 func (p *process) check(document *snapshot.Document) {
 	version := document.Version()
 	if !version.Newer(p.held) {
-		p.fleet.breach("%s went from %s to %s", p.machine.Name, p.held, version)
+		p.fleet.reportViolation("%s replaced %s by %s, which is not newer", p.machine.Name, p.held, version)
 	}
 	published := p.fleet.Platform.published[version]
 	if published == nil {
-		p.fleet.breach("%s adopted %s, which was never published", p.machine.Name, version)
+		p.fleet.reportViolation("%s adopted %s, which was never published", p.machine.Name, version)
 		return
 	}
 	same := len(published.Resources()) == len(document.Resources())
@@ -274,6 +276,6 @@
 		same = bytes.Equal(published.Resources()[i].Body, document.Resources()[i].Body)
 	}
 	if !same {
-		p.fleet.breach("%s holds a part of %s", p.machine.Name, version)
+		p.fleet.reportViolation("%s adopted %s with other content than was published", p.machine.Name, version)
 	}
 }
--- a/internal/distribution/standing_test.go
+++ b/internal/distribution/standing_test.go
@@ -12,7 +12,7 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// firstReaders returns the first node of each zone in the order in which they read the source.
+// firstReaders returns the first node of each zone in reader rank.
 func (f *freshnessFleet) firstReaders() (readers []membership.NodeID) {
 	byZone := make(map[string][]membership.NodeID)
 	for _, name := range f.Machines() {
@@ -26,12 +26,11 @@
 	return readers
 }
 
-// TestReadersAreLinkedAfterAStart: the readers of the zones have to know of each other's reading.
-// While a fleet starts, most nodes take themselves for readers and dial those that are; one that was
-// refused then, as the other had links enough, left it alone for 30 s:
-//
-//	node-032 [...] node-016 no link, retry +17.6s
-func TestReadersAreLinkedAfterAStart(t *testing.T) {
+// TestReadersAreLinkedAfterFleetStart checks that the readers of the zones have links to each
+// other. While a fleet starts, most nodes take themselves for readers and dial the real ones. A
+// reader that was refused then, because the other one had enough links, did not dial it again
+// for 30 s.
+func TestReadersAreLinkedAfterFleetStart(t *testing.T) {
 	for _, nodes := range []int{13, 80, 300} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -2,107 +2,104 @@
 
 import "time"
 
-// Timing holds all intervals of an Engine and a Node.
+// Timing holds the intervals and timeouts of an Engine and a Node.
 type Timing struct {
-	// HeartbeatInterval is the longest silence on an ordinary link.
+	// HeartbeatInterval is the longest time without a frame on an ordinary link.
 	HeartbeatInterval time.Duration
-	// GroupHeartbeatInterval is the longest silence on a link between nodes of a
-	// zone's reader group.
+	// GroupHeartbeatInterval is the same for a standing link: one between nodes of a zone's
+	// reader group, or between readers that may lead.
 	GroupHeartbeatInterval time.Duration
 	// DigestInterval is the mean time between two digests on a link.
 	DigestInterval time.Duration
-	// RecordWindow is how long records are collected before they are sent.
+	// RecordWindow is how long records are batched before they are sent.
 	RecordWindow time.Duration
-	// ViewWindow is how long changes of the fleet are collected before the
-	// Adopter is told.
+	// ViewWindow is how long changes of the fleet are batched before they are reported to
+	// the Adopter.
 	ViewWindow time.Duration
-	// ViewInterval is the least time between two such changes, except for one
-	// that ends work on an instance.
+	// ViewInterval is the least time between two such reports, except for a change that ends
+	// work on an instance.
 	ViewInterval time.Duration
-	// AnnounceDelay is how long an announcement waits on links that the peer
-	// dialled.
+	// AnnounceDelay is how long an announcement is delayed on links that the peer dialled.
 	AnnounceDelay time.Duration
-	// PullTimeout is how long a peer may take to answer a Pull before another one
-	// is asked. It doubles with each attempt for one version.
+	// PullTimeout is how long a peer may take to answer a Pull before another peer is asked.
+	// It doubles with each attempt for the same version.
 	PullTimeout time.Duration
-	// DialTimeout bounds dialling and the exchange of Hello.
+	// DialTimeout bounds dialling and the exchange of Hello messages.
 	DialTimeout time.Duration
-	// AnswerTime is how long a peer may take to answer a dial before another one
-	// is dialled beside it.
+	// AnswerTime is how long a peer may take to answer a dial before another peer is dialled
+	// as well.
 	AnswerTime time.Duration
-	// StartPeerWait is how long a node that holds nothing waits for peers to
-	// answer before it takes the source's word.
+	// StartPeerWait is how long a node that holds nothing waits for peers to answer before it
+	// trusts the source.
 	StartPeerWait time.Duration
-	// StartListWait is how long a node that can get no list, neither from the
-	// platform nor from a peer, waits before it reads the source all the same.
+	// StartListWait is how long a node that gets no membership list, from the platform or a
+	// peer, waits before it reads the source without one.
 	StartListWait time.Duration
-	// ColdWait is how long a node that holds nothing waits at least before it
-	// takes the source's word, though its peers hold nothing either: in a fleet
-	// that starts together the list grows meanwhile, and few take themselves for
-	// readers.
+	// ColdWait is the least time that a node which holds nothing waits before it trusts the
+	// source, even if its peers hold nothing either. In a fleet that starts together the list
+	// grows in that time, so that few nodes take themselves for readers.
 	ColdWait time.Duration
-	// StartSettle is how long after its start a node that holds a version leaves the
-	// source to others. In a fleet that starts together each list names few nodes, so
-	// that each node takes itself for a reader until the links have told it of the rest.
+	// StartSettle is how long after its start a node that holds a version leaves reading to
+	// others. In a fleet that starts together each list names few nodes, so that each node
+	// takes itself for a reader until it learns of the others over its links.
 	StartSettle time.Duration
-	// RecheckWait is how long a node that slept waits for its peers to answer
+	// RecheckWait is how long a node whose process was suspended waits for its peers to answer
 	// before it reads the source again.
 	RecheckWait time.Duration
-	// SourceWait is how long the source holds a question for a new revision. It
-	// bounds how long a reader that is cut off stays unnoticed.
+	// SourceWait is how long the source may hold a poll for a new revision. It bounds how long
+	// it takes to notice that a reader is cut off from the source.
 	SourceWait time.Duration
 	// SourceGrace is how much later than SourceWait an answer may begin, and how long it may
-	// then stop coming.
+	// stall after that.
 	SourceGrace time.Duration
-	// StandInDelay is how long a node waits before it takes over from a reader
-	// whose process is gone. One that fell silent or cannot read is replaced at
-	// once.
+	// StandInDelay is how long a node waits before it takes over from a reader whose process
+	// is gone. A reader that fell silent or cannot read is replaced at once.
 	StandInDelay time.Duration
-	// FetchTimeout is how long the answer to a read of the whole document or list may take to
+	// FetchTimeout is how long the answer to a read of the document or the list may take to
 	// begin.
 	FetchTimeout time.Duration
-	// FreshnessLimit is the age of a reader's last confirmation from which the
-	// next in rank reads as well.
+	// FreshnessLimit is the age of a reader's last answer from the source above which the next
+	// node in rank reads as well.
 	FreshnessLimit time.Duration
-	// FetchDelay and FetchStagger set how long a reader lets a new revision come
-	// over the overlay before it fetches it: FetchDelay plus FetchStagger for each
-	// rank, up to FetchDelayMax. The first in rank fetches at once.
+	// FetchDelay and FetchStagger set how long a reader waits for peers to deliver a new
+	// revision before it fetches it: FetchDelay plus its rank times FetchStagger, up to
+	// FetchDelayMax. The first in rank fetches at once.
 	FetchDelay, FetchStagger, FetchDelayMax time.Duration
-	// NewsInterval is the least time between two polls of a reader that does not
-	// lead, after one that brought news: the one that leads brings the next.
-	NewsInterval time.Duration
-	// FirstNewsInterval is the same for the one that leads. The first change after a
-	// quiet time is read at once; those that follow within the interval come together.
-	FirstNewsInterval time.Duration
-	// MembersWait is how long the platform holds a question for a new list.
+	// FollowerPollInterval is the least time between a poll that brings a new revision and the
+	// next one, for a reader that does not lead: the leader brings the next revision.
+	FollowerPollInterval time.Duration
+	// LeaderPollInterval is the same for the leader. The first change after a quiet time is
+	// read at once; changes that follow within the interval are read together.
+	LeaderPollInterval time.Duration
+	// MembersWait is how long the platform may hold a poll for a new list.
 	MembersWait time.Duration
-	// BackoffMin and BackoffMax bound the mean delay before the source or the
-	// list is asked again after a failure.
+	// BackoffMin and BackoffMax bound the mean delay before the source or the list is read
+	// again after a failure.
 	BackoffMin, BackoffMax time.Duration
-	// RetryAfterMax bounds what the source may ask a reader to wait. Readers are few, and while
-	// none asks nobody learns that the source serves again.
+	// RetryAfterMax bounds how long a reader waits on the source's request (Retry-After). There
+	// are few readers, and while none polls no node learns that the source has recovered.
 	RetryAfterMax time.Duration
 	// RedialMin and RedialMax bound the mean delay before a peer is dialled again.
 	RedialMin, RedialMax time.Duration
-	// RefusedWait is how long a peer that has enough links is left alone.
+	// RefusedWait is how long a peer that refused a link because it has enough is not dialled.
 	RefusedWait time.Duration
-	// FaultWait is how long a peer that broke the protocol is left alone.
+	// FaultWait is how long a peer that broke the protocol is not dialled.
 	FaultWait time.Duration
-	// SuspectedRetry is the least time between two dials to suspected members.
+	// SuspectedRetry is the least time between two dials of suspected members.
 	SuspectedRetry time.Duration
-	// LateThreshold is how late the engine may run before it takes itself for
-	// short of processor time; for LateMemory after that it suspects nobody.
+	// LateThreshold is how late a wake-up of the engine may be before the process counts as
+	// short of CPU time; for LateMemory after that it suspects no member.
 	LateThreshold, LateMemory time.Duration
-	// PauseThreshold is how late the engine may run before it takes itself for
-	// having slept.
+	// PauseThreshold is how late a wake-up may be before the process counts as having been
+	// suspended.
 	PauseThreshold time.Duration
-	// ExpireInterval is the time between two looks for outdated records.
+	// ExpireInterval is the time between two checks for expired records.
 	ExpireInterval time.Duration
-	// UnneededLinkAge is how long a link beyond those wanted is kept.
+	// UnneededLinkAge is the age up to which a link beyond those wanted is kept.
 	UnneededLinkAge time.Duration
 }
 
-// DefaultTiming returns the intervals for production.
+// DefaultTiming returns the default intervals.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval:      5 * time.Second,
@@ -127,8 +124,8 @@
 		FetchDelay:             150 * time.Millisecond,
 		FetchStagger:           40 * time.Millisecond,
 		FetchDelayMax:          1500 * time.Millisecond,
-		NewsInterval:           minPollInterval,
-		FirstNewsInterval:      minPollInterval,
+		FollowerPollInterval:   minPollInterval,
+		LeaderPollInterval:     minPollInterval,
 		MembersWait:            20 * time.Second,
 		BackoffMin:             200 * time.Millisecond,
 		BackoffMax:             10 * time.Second,
@@ -146,31 +143,32 @@
 	}
 }
 
-// ForCurrentSource returns the intervals for a source that always serves the
-// newest revision and whose documents readers hold already when they learn of
-// them: nobody waits for others before it takes a document over.
+// ForCurrentSource returns the intervals for a source that always serves the newest revision,
+// and whose documents a reader has already received when it learns of the revision. No node
+// waits for others before it adopts a document.
 func (t Timing) ForCurrentSource() Timing {
 	t.StartListWait = time.Second
 	t.StartPeerWait = 500 * time.Millisecond
 	t.RecheckWait = 500 * time.Millisecond
-	// What passes until a silent reader is found, and the one that takes over from it, if that is
-	// silent too: a wait and two graces, 1.4 s, so that a change is in force in 1.5 s. A shorter
-	// wait costs calls: a reader that waits makes one each.
+	// Detecting a reader that gets no answers, and then a successor that gets none either, takes
+	// one wait and two graces, 1.4 s, so that a change is in force within 1.5 s. A shorter wait
+	// costs more polls: an idle reader sends one for each wait.
 	t.SourceWait = 600 * time.Millisecond
 	t.SourceGrace = 400 * time.Millisecond
-	// A reader confirms after each wait, and its group hears of it with the next heartbeat: 1.5 s
-	// at most. Beyond that one whose answers only trickle in is not the only reader.
+	// A reader gets an answer after each wait, and its group learns of it with the next
+	// heartbeat, after 1.5 s at most. Above this limit, the next node reads as well beside a
+	// reader whose answers arrive slowly.
 	t.FreshnessLimit = 2500 * time.Millisecond
 	t.FetchDelay, t.FetchStagger, t.FetchDelayMax = 0, 0, 0
 	t.FetchTimeout = 3 * time.Second
-	// The reader that leads brings what follows within this.
-	t.NewsInterval = 1200 * time.Millisecond
-	t.FirstNewsInterval = 250 * time.Millisecond
-	// Half of the shortest time after a start for which the platform asks nothing of a
-	// node (contactMs of 3 s); links are up and lists passed on after about a second.
+	// The leader brings the revisions that follow within this time.
+	t.FollowerPollInterval = 1200 * time.Millisecond
+	t.LeaderPollInterval = 250 * time.Millisecond
+	// Half of the shortest time for which the platform expects nothing of a node after its start
+	// (contactMs of 3 s). Links are up and lists passed on after about one second.
 	t.StartSettle = 1500 * time.Millisecond
 	t.BackoffMin, t.BackoffMax = 100*time.Millisecond, 400*time.Millisecond
-	// A call a second of each reader that is turned away, fewer than of one that is served.
+	// A rejected reader then makes one call a second, fewer than one that is served.
 	t.RetryAfterMax = time.Second
 	t.RedialMax = time.Second
 	t.DialTimeout = 2 * time.Second
