--- a/internal/distribution/connection_test.go
+++ b/internal/distribution/connection_test.go
@@ -12,8 +12,8 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// newPair returns a connection and a reader of what its peer receives.
-func newPair(c *qt.C) (*connection, *bufio.Reader) {
+// newTestConnection returns a connection and a reader of what its peer receives.
+func newTestConnection(c *qt.C) (*connection, *bufio.Reader) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
@@ -43,7 +43,7 @@
 func TestUrgentFramesOvertakeLargeFrame(t *testing.T) {
 	const largeBytes = maxQueuedBytes * 9 / 10
 	c := qt.New(t)
-	sender, received := newPair(c)
+	sender, received := newTestConnection(c)
 	sender.acceptsParts.Store(true)
 	random := make([]byte, largeBytes)
 	_, err := rand.Read(random)
--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -24,9 +24,9 @@
 type phase uint8
 
 const (
-	phaseDialing  phase = 1 // no connection yet
-	phaseGreeting phase = 2 // Hello sent, the peer's not received yet
-	phaseUp       phase = 3 // Hello exchanged
+	phaseDialing phase = 1 // no connection yet
+	phaseHello   phase = 2 // Hello sent, the peer's not received yet
+	phaseUp      phase = 3 // Hello exchanged
 )
 
 // link is one connection to a peer.
@@ -124,7 +124,7 @@
 	if l == nil || l.phase != phaseDialing {
 		return
 	}
-	l.phase = phaseGreeting
+	l.phase = phaseHello
 	e.sendHello(l)
 }
 
@@ -179,7 +179,7 @@
 		id:       event.Link,
 		node:     hello.Self.Node,
 		probe:    hello.Purpose == wire.PurposeProbe,
-		phase:    phaseGreeting,
+		phase:    phaseHello,
 		openedAt: e.now,
 	}
 	reason, refused := e.refusalReason(l, hello)
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -223,7 +223,7 @@
 		n.options.Hold()
 	}
 	for event != nil {
-		n.track(event)
+		n.trackEvent(event)
 		n.perform(ctx, n.engine.Handle(n.options.Now(), event))
 		if opened, ok := event.(linkOpened); ok && !n.engine.hasLink(opened.connection.id) {
 			n.closeLink(opened.connection.id) // the engine closed the link during the dial
@@ -243,8 +243,8 @@
 	return event
 }
 
-// track updates the maps of connections, dials and requests.
-func (n *Node) track(event Event) {
+// trackEvent updates the maps of connections, dials and requests.
+func (n *Node) trackEvent(event Event) {
 	switch event := event.(type) {
 	case linkOpened:
 		n.connections[event.connection.id] = event.connection
--- a/internal/distribution/protocol_test.go
+++ b/internal/distribution/protocol_test.go
@@ -128,10 +128,10 @@
 
 // buildWithoutFleetChanges simulates the engine of a build that does not know fleet changes ahead of
 // documents: its Hello does not offer to accept them, and receiving one is a protocol violation,
-// counted in broken.
+// counted in violations.
 type buildWithoutFleetChanges struct {
-	engine *distribution.Engine
-	broken *int
+	engine     *distribution.Engine
+	violations *int
 }
 
 // NextWake implements simulation.Participant.
@@ -140,7 +140,7 @@
 // Handle implements simulation.Participant.
 func (b buildWithoutFleetChanges) Handle(now time.Time, event distribution.Event) []distribution.Action {
 	if message, ok := event.(distribution.Message); ok && message.Message.Type() == wire.TypeFleetChanges {
-		*b.broken++
+		*b.violations++
 	}
 	var kept []distribution.Action
 	for _, action := range b.engine.Handle(now, event) {
@@ -169,7 +169,7 @@
 		within       = 5 * time.Second
 	)
 	c := qt.New(t)
-	broken := 0
+	violations := 0
 	f := simulation.New(simulation.Options{
 		Seed: 1, Timing: distribution.DefaultTiming().ForCurrentSource(), ReadersPerZone: 1, SourceIsCurrent: true,
 		Latency: 2 * time.Millisecond, AdoptDelay: 10 * time.Millisecond,
@@ -179,7 +179,7 @@
 		var wrap func(*distribution.Engine) simulation.Participant
 		if i%2 == 1 {
 			wrap = func(engine *distribution.Engine) simulation.Participant {
-				return buildWithoutFleetChanges{engine, &broken}
+				return buildWithoutFleetChanges{engine, &violations}
 			}
 		}
 		f.Start(simulation.Machine{Name: membership.NodeID(fmt.Sprintf("node-%02d", i)), Zone: fmt.Sprintf("zone-%d", i%zones), Region: "r"}, wrap)
@@ -194,6 +194,6 @@
 	}
 	f.Platform.Publish(document(2), "")
 	c.Check(f.RunUntil(within, allHold), qt.IsTrue)
-	c.Check(broken, qt.Equals, 0)
+	c.Check(violations, qt.Equals, 0)
 	c.Check(f.Broken(), qt.HasLen, 0)
 }
--- a/internal/distribution/upkeep.go
+++ b/internal/distribution/upkeep.go
@@ -7,9 +7,9 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// suspectedDialsInFlight bounds the rate at which the whole fleet dials one suspected
+// maxSuspectedDialers bounds the rate at which the whole fleet dials one suspected
 // member to that of this many nodes.
-const suspectedDialsInFlight = 8
+const maxSuspectedDialers = 8
 
 // closeUnneeded closes the youngest outgoing links in excess of the wanted number, such
 // as one that was dialled only to verify that the peer is alive.
@@ -72,7 +72,7 @@
 	if suspected == 0 {
 		return e.jittered(e.timing.SuspectedRetry)
 	}
-	share := time.Duration(max(1, reachable/(suspected*suspectedDialsInFlight)))
+	share := time.Duration(max(1, reachable/(suspected*maxSuspectedDialers)))
 	interval := e.timing.SuspectedRetry * share
 	return e.backoff(1, interval, interval)
 }
