--- a/internal/dataplane/client/client.go
+++ b/internal/dataplane/client/client.go
@@ -1,7 +1,7 @@
-// Package client sends requests over kept HTTP/1.1 connections, one at a time on
-// each, and tells for each failure whether the request may have run. It trusts no
-// byte that it did not ask for: an answer counts only with the id of its request,
-// and a connection with anything left on it is not used again.
+// Package client sends requests over persistent HTTP/1.1 connections, one at a time on
+// each, and reports for each failure whether the request may have run. It accepts a
+// response only with the ID of its request, and does not reuse a connection that has
+// unread data.
 package client
 
 import (
@@ -19,25 +19,25 @@
 	"github.com/winchhead/winchhead/internal/dataplane/transfer"
 )
 
-// Progress tells how much of a request was sent when its send failed.
+// Progress is how much of a request had been sent when it failed.
 type Progress uint8
 
 // The stages of a send.
 const (
-	// NotSent: not a byte of the request left.
+	// NotSent: no byte of the request was sent.
 	NotSent Progress = 1
-	// SentPart: the request was not written to its end.
+	// SentPart: the request was not written completely.
 	SentPart Progress = 2
-	// SentWhole: the request was written and no whole answer came.
+	// SentWhole: the request was written completely, but no complete response came.
 	SentWhole Progress = 3
 )
 
-// Error is a send without a whole valid answer.
+// Error is a request that got no complete, valid response.
 type Error struct {
 	Progress Progress
-	// Invalid says that what came was not an answer to the request.
+	// Invalid is set when the data received was not a response to the request.
 	Invalid bool
-	// Silent says that nothing came of the request for its SilenceLimit.
+	// Silent is set when the server sent nothing for the request's SilenceLimit.
 	Silent bool
 	Err    error
 }
@@ -48,91 +48,91 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Request is one message to send. Header must hold no field of one connection
-// only; Host and the length are added.
+// Request is one request to send. Header must hold no hop-by-hop fields; Host and
+// Content-Length are added.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// ID is what the answer must give back in the field IDHeader.
+	// ID is the value that the response must repeat in the field IDHeader.
 	ID string
-	// MaxRest is how long the connection may have rested. Servers forget resting
-	// connections without a word, and a send on such a one may have run for all that
-	// can be seen. Zero: as long as the server keeps it.
+	// MaxRest is how long the connection may have been idle. Servers drop idle connections
+	// without notice, and a request sent on a dropped one counts as possibly run. Zero: as
+	// long as the server keeps idle connections.
 	MaxRest time.Duration
-	// SilenceLimit is how long nothing may come of a request that was sent whole, from a
-	// server that reports progress, before it is given up; zero: as long as the context lasts.
+	// SilenceLimit is how long a server that reports progress may send nothing for a
+	// completely sent request before the request fails; zero: until the context ends.
 	SilenceLimit time.Duration
-	// AskFirst sends the body only when the server grants it with an interim answer. A
-	// server that answers for good before has got nothing of it.
+	// AskFirst sends the body only after a 100 (Continue) response. If the server sends a
+	// final response instead, no part of the body has been sent.
 	AskFirst bool
 }
 
-// Response is an answer whose body is read from Body. Close must be called.
+// Response is a response whose body is read from Body. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 when it ends with its last chunk or with the
-	// connection.
+	// Length is the length of the body, -1 when the body ends with its last chunk or with
+	// the connection.
 	Length int64
 	Body   io.Reader
 
-	owner *conn
-	stop  func() bool
-	whole bool
+	owner    *conn
+	stop     func() bool
+	complete bool
 }
 
-// Options set up a Pool.
+// Options configures a Pool.
 type Options struct {
 	Address string
-	// IDHeader is the field in which answers give back the id of their request.
+	// IDHeader is the field in which responses repeat the ID of their request.
 	IDHeader string
-	// ConnectTimeout bounds the making of a connection.
+	// ConnectTimeout limits the time to establish a connection.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long a connection may rest when its server names no time.
+	// IdleTimeout is how long a connection may be idle when its server names no timeout.
 	IdleTimeout time.Duration
-	// RunsWholeOnly says that the server begins with nothing before it has the whole
-	// request.
+	// RunsWholeOnly is set when the server runs a request only after it has received all
+	// of it.
 	RunsWholeOnly bool
-	// Pacer bounds the rate at which bodies are sent; nil does not.
+	// Pacer limits the rate at which bodies are sent; nil: no limit.
 	Pacer *transfer.Pacer
-	// PaceHeader is the field in which a server that grants a body names the rate at
-	// which it takes it, in bytes a second.
+	// PaceHeader is the field of a 100 (Continue) response that holds the rate at which the
+	// server accepts the body, in bytes per second.
 	PaceHeader string
-	// VerifyAfter is the time without any answer of the server after which a liveness
-	// check goes out before the next request on a kept connection; zero: never. When the
-	// check fails, the request has not been sent.
+	// VerifyAfter is the time without any response from the server after which a liveness
+	// check is sent before the next request on an idle connection; zero: never. When the
+	// check fails, the request is not sent.
 	VerifyAfter time.Duration
-	// VerifyRested is the same for a connection that rested so long, whatever came on others:
-	// connections fall silent one by one. Zero: never.
+	// VerifyRested is the same for a connection that was idle for so long, even if others
+	// received data: connections can fail one by one without being closed. Zero: never.
 	VerifyRested time.Duration
-	// VerifyTimeout bounds the wait for the answer to a liveness check.
+	// VerifyTimeout limits the wait for the response to a liveness check.
 	VerifyTimeout time.Duration
-	// ProgressHeader is the field with which a request with a SilenceLimit asks the server to
-	// report its progress.
+	// ProgressHeader is the field by which a request with a SilenceLimit asks the server for
+	// progress reports.
 	ProgressHeader string
-	// Dial makes connections; nil dials TCP.
+	// Dial establishes connections; nil dials TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Now tells the time; nil takes the system's clock.
+	// Now returns the current time; nil uses the system clock.
 	Now func() time.Time
 }
 
-// Pool keeps the connections to one server. It is safe for concurrent use.
+// Pool holds the connections to one server. It is safe for concurrent use.
 type Pool struct {
 	options Options
 
-	// reports is set once the server has reported the progress of a request.
-	reports atomic.Bool
+	// reportsProgress is set once the server has sent a progress report.
+	reportsProgress atomic.Bool
 
 	mutex sync.Mutex
-	// heardAt is when anything last came from the server.
-	heardAt time.Time
-	idle    []*conn // the last used is the last
-	open    int
-	closed  bool
+	// lastReceipt is when data was last received from the server.
+	lastReceipt time.Time
+	idle        []*conn // the most recently used is last
+	open        int
+	closed      bool
 }
 
-// NewPool returns a Pool without connections.
+// NewPool returns a Pool that has no connections yet.
 func NewPool(options Options) *Pool {
 	if options.Dial == nil {
 		options.Dial = (&net.Dialer{}).DialContext
@@ -143,30 +143,30 @@
 	return &Pool{options: options}
 }
 
-// Address is that of the server.
+// Address returns the address of the server.
 func (p *Pool) Address() string { return p.options.Address }
 
-// Open returns how many connections are open.
+// Open returns the number of open connections.
 func (p *Pool) Open() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.open
 }
 
-// Close closes the connections that rest; others close after their answer.
+// Close closes the idle connections; those in use are closed after their response.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.closed = true
-	for _, resting := range p.idle {
-		_ = resting.Conn.Close()
+	for _, candidate := range p.idle {
+		_ = candidate.Conn.Close()
 		p.open--
 	}
 	p.idle = nil
 }
 
-// Do sends the request and returns once the header of its answer is there. The
-// error is an *Error. The end of the context ends the exchange and its connection.
+// Do sends the request and returns when the header of the response has been read. The
+// error is an *Error. When the context ends, the exchange fails and its connection is closed.
 func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
 	used, err := p.take(ctx, request.MaxRest)
 	if err != nil {
@@ -174,25 +174,25 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = used.SetDeadline(past) })
 	began := p.options.Now()
-	if p.isDoubtful(used) {
+	if p.needsLivenessCheck(used) {
 		if err := used.verify(ctx, p.options.VerifyTimeout); err != nil {
 			stop()
 			p.drop(used)
 			if ctx.Err() == nil {
-				p.dropUnheard(began)
+				p.dropIdleSince(began)
 			}
 			return nil, &Error{Progress: NotSent, Err: err}
 		}
-		p.heard()
+		p.recordReceipt()
 	}
 	response, failure := used.exchange(ctx, request, p.options.IDHeader)
 	if failure != nil {
 		stop()
 		if failure.Silent {
-			p.reports.Store(false) // until it reports again: it may be of another version now
+			p.reportsProgress.Store(false) // until the next report: the server may have been replaced by another version
 		}
-		if failure.Silent || p.options.Now().Sub(began) >= distrustAfter {
-			p.dropUnheard(began)
+		if failure.Silent || p.options.Now().Sub(began) >= dropIdleAfter {
+			p.dropIdleSince(began)
 		}
 		if used.writing != nil {
 			used.abort()
@@ -203,66 +203,67 @@
 		}
 		return nil, failure
 	}
-	p.heard()
+	p.recordReceipt()
 	response.owner, response.stop = used, stop
 	return response, nil
 }
 
-// isDoubtful reports whether nothing has come from the server, or on a connection, for so
-// long that the server may be gone or cut off, or the connection silent.
-func (p *Pool) isDoubtful(used *conn) bool {
+// needsLivenessCheck reports whether nothing has been received from the server, or on the
+// connection, for so long that the server may be down or unreachable, or the connection dead.
+func (p *Pool) needsLivenessCheck(used *conn) bool {
 	now, options := p.options.Now(), p.options
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return options.VerifyAfter > 0 && now.Sub(p.heardAt) > options.VerifyAfter ||
-		options.VerifyRested > 0 && now.Sub(used.restsSince) > options.VerifyRested
+	return options.VerifyAfter > 0 && now.Sub(p.lastReceipt) > options.VerifyAfter ||
+		options.VerifyRested > 0 && now.Sub(used.idleSince) > options.VerifyRested
 }
 
-func (p *Pool) heard() {
+func (p *Pool) recordReceipt() {
 	now := p.options.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.heardAt = now
+	p.lastReceipt = now
 }
 
-// distrustAfter is how long a request that fails must have heard nothing for the connections
-// that rest to be trusted no longer. A new connection costs about a millisecond, a request on a
-// silent one its whole time.
-const distrustAfter = time.Second
+// dropIdleAfter is how long a request must have waited before its failure also closes the idle
+// connections. A new connection costs about a millisecond, a request on a dead one its whole
+// timeout.
+const dropIdleAfter = time.Second
 
-// dropUnheard closes the connections that rest and on which nothing has come since a moment:
-// what keeps one connection silent may keep them silent too.
-func (p *Pool) dropUnheard(since time.Time) {
-	p.dropResting(func(resting *conn) bool { return resting.restsSince.Before(since) })
+// dropIdleSince closes the idle connections that have received nothing since the given time:
+// what makes one connection fail may affect them too.
+func (p *Pool) dropIdleSince(since time.Time) {
+	p.dropIdle(func(candidate *conn) bool { return candidate.idleSince.Before(since) })
 }
 
-// past is a deadline that is over.
+// past is a deadline that has already expired.
 var past = time.Unix(1, 0)
 
-// take returns a connection that rested, no longer than maxRest unless that is zero,
-// and is still sound, or a new one.
-func (p *Pool) take(ctx context.Context, maxRest time.Duration) (*conn, error) {
+// take returns an idle connection that can be reused, or a new one. A connection that was idle
+// for longer than maxIdle is not reused, unless maxIdle is zero.
+func (p *Pool) take(ctx context.Context, maxIdle time.Duration) (*conn, error) {
 	for {
-		resting := p.takeIdle(maxRest)
-		if resting == nil {
+		candidate := p.takeIdle(maxIdle)
+		if candidate == nil {
 			return p.dial(ctx)
 		}
-		if resting.usable(p.options.Now()) {
-			return resting, nil
+		if candidate.isReusable(p.options.Now()) {
+			return candidate, nil
 		}
-		p.drop(resting)
+		p.drop(candidate)
 	}
 }
 
-// takeIdle returns the connection used last. Those below it rested longer.
-func (p *Pool) takeIdle(maxRest time.Duration) *conn {
+// takeIdle removes and returns the most recently used idle connection, nil if there is none
+// or it was idle for longer than maxIdle; the others have been idle even longer.
+func (p *Pool) takeIdle(maxIdle time.Duration) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if len(p.idle) == 0 {
 		return nil
 	}
 	last := p.idle[len(p.idle)-1]
-	if maxRest > 0 && p.options.Now().Sub(last.restsSince) > maxRest {
+	if maxIdle > 0 && p.options.Now().Sub(last.idleSince) > maxIdle {
 		return nil
 	}
 	p.idle = p.idle[:len(p.idle)-1]
@@ -272,16 +273,16 @@
 func (p *Pool) dial(ctx context.Context) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.ConnectTimeout)
 	defer cancel()
-	made, err := p.options.Dial(ctx, "tcp", p.options.Address)
+	dialed, err := p.options.Dial(ctx, "tcp", p.options.Address)
 	if err != nil {
 		return nil, eris.Wrap(err, "connect")
 	}
 	now := p.options.Now()
 	p.mutex.Lock()
 	p.open++
-	p.heardAt = now
+	p.lastReceipt = now
 	p.mutex.Unlock()
-	return &conn{Conn: made, pool: p, restsSince: now, reader: bufio.NewReaderSize(made, readBufferBytes), rest: p.options.IdleTimeout}, nil
+	return &conn{Conn: dialed, pool: p, idleSince: now, reader: bufio.NewReaderSize(dialed, readBufferBytes), idleTimeout: p.options.IdleTimeout}, nil
 }
 
 func (p *Pool) drop(c *conn) {
@@ -291,9 +292,9 @@
 	p.mutex.Unlock()
 }
 
-// put keeps a connection for the next request.
+// put returns a connection to the pool for the next request.
 func (p *Pool) put(c *conn) {
-	c.restsSince = p.options.Now()
+	c.idleSince = p.options.Now()
 	p.mutex.Lock()
 	closed := p.closed
 	if !closed {
@@ -305,25 +306,25 @@
 	}
 }
 
-// Prune closes connections that rested for too long.
+// Prune closes connections that have been idle for too long.
 func (p *Pool) Prune(now time.Time) {
-	p.dropResting(func(resting *conn) bool { return now.Sub(resting.restsSince) >= resting.rest })
+	p.dropIdle(func(candidate *conn) bool { return now.Sub(candidate.idleSince) >= candidate.idleTimeout })
 }
 
-// dropResting closes those connections of the ones that rest.
-func (p *Pool) dropResting(unwanted func(*conn) bool) {
+// dropIdle closes the idle connections that are unwanted.
+func (p *Pool) dropIdle(unwanted func(*conn) bool) {
 	p.mutex.Lock()
 	var kept, dropped []*conn
-	for _, resting := range p.idle {
-		if unwanted(resting) {
-			dropped = append(dropped, resting)
+	for _, candidate := range p.idle {
+		if unwanted(candidate) {
+			dropped = append(dropped, candidate)
 		} else {
-			kept = append(kept, resting)
+			kept = append(kept, candidate)
 		}
 	}
 	p.idle = kept
 	p.mutex.Unlock()
-	for _, resting := range dropped {
-		p.drop(resting)
+	for _, candidate := range dropped {
+		p.drop(candidate)
 	}
 }
--- a/internal/dataplane/client/client_test.go
+++ b/internal/dataplane/client/client_test.go
@@ -27,7 +27,7 @@
 	return pool
 }
 
-// ask sends one request and returns its whole answer.
+// ask sends one request and returns its complete response.
 func ask(ctx context.Context, pool *client.Pool, id, body string) (status int, answer string, err error) {
 	response, err := pool.Do(ctx, &client.Request{
 		Method: http.MethodPost, Target: "/t", Host: "h.example", ID: id, Body: []byte(body),
@@ -41,12 +41,12 @@
 	return response.Status, string(read), err
 }
 
-// TestSpoiltAnswers: an answer is the whole answer to its own request, or an
-// error; and the next request never gets anything of it.
-func TestSpoiltAnswers(t *testing.T) {
+// TestInvalidResponses: a request gets the complete response to itself, or an error, and no
+// part of the response reaches the next request.
+func TestInvalidResponses(t *testing.T) {
 	rows := map[string]struct {
 		fault instance.Fault
-		// status is 0 where the answer must not look complete.
+		// status is 0 where the response must not look complete.
 		status int
 		// connections is how many both requests need.
 		connections int
@@ -57,9 +57,9 @@
 		"cut in the body":            {instance.Cut, 0, 2},
 		"without a length":           {instance.Unframed, 200, 2},
 		"without a length and reset": {instance.UnframedReset, 0, 2},
-		"a second answer behind":     {instance.Extra, 200, 2},
-		"another's answer before":    {instance.Late, 200, 1},
-		"no answer at all":           {instance.Garbage, 0, 2},
+		"a second response after it": {instance.Extra, 200, 2},
+		"another's answer before it": {instance.Late, 200, 1},
+		"not a response":             {instance.Garbage, 0, 2},
 		"rejected":                   {instance.Reject, 503, 1},
 		"another instance":           {instance.OtherInstance, 421, 1},
 		"closes after":               {instance.CloseAfter, 200, 2},
@@ -92,16 +92,16 @@
 			c.Assert(err, qt.IsNil)
 			c.Check(status, qt.Equals, 200)
 			c.Check(answer, qt.Equals, instance.Body("second"))
-			if row.fault != instance.Extra { // its bytes may be seen before or after the reuse
+			if row.fault != instance.Extra { // the extra bytes may arrive before or after the reuse
 				c.Check(emulated.Accepted(), qt.Equals, row.connections)
 			}
 		})
 	}
 }
 
-// TestEarlyAnswer: an answer to a body that is still being sent is passed on, and
-// the rest of the body goes nowhere.
-func TestEarlyAnswer(t *testing.T) {
+// TestEarlyResponse: a response that arrives while the body is still being sent is returned,
+// and the rest of the body does not reach the next request.
+func TestEarlyResponse(t *testing.T) {
 	c := qt.New(t)
 	emulated := &instance.Instance{Name: "i-1", Plan: func(id string) instance.Fault {
 		if id == "first" {
@@ -119,7 +119,7 @@
 	c.Assert(emulated.Runs(), qt.HasLen, 1)
 }
 
-// TestUnreachableSendsNothing: without a connection it is certain that nothing ran.
+// TestUnreachableSendsNothing: without a connection the request counts as not sent.
 func TestUnreachableSendsNothing(t *testing.T) {
 	c := qt.New(t)
 	emulated := &instance.Instance{Name: "i-1"}
@@ -131,8 +131,9 @@
 	c.Assert(failure.Progress, qt.Equals, client.NotSent)
 }
 
-// TestSoundConnectionIsKept: each new connection costs an instance.
-func TestSoundConnectionIsKept(t *testing.T) {
+// TestConnectionIsReused: sequential requests share one connection, as each new connection
+// costs the instance work.
+func TestConnectionIsReused(t *testing.T) {
 	c := qt.New(t)
 	emulated := &instance.Instance{Name: "i-1"}
 	pool := newPool(t, emulated)
@@ -145,8 +146,8 @@
 	c.Assert(emulated.Accepted(), qt.Equals, 1)
 }
 
-// TestCancelReachesTheServer: the end of the context closes the connection.
-func TestCancelReachesTheServer(t *testing.T) {
+// TestCancelClosesConnection: the server sees the connection close when the context ends.
+func TestCancelClosesConnection(t *testing.T) {
 	c := qt.New(t)
 	began := make(chan struct{})
 	left := make(chan struct{})
@@ -166,15 +167,15 @@
 	<-left
 }
 
-// TestForgottenConnection: a server forgets connections that rest without a word. A
-// request that must not be sent on such a one gets a new connection.
-func TestForgottenConnection(t *testing.T) {
+// TestStaleConnection: a server may drop idle connections without notice. A request with a
+// limit on the idle time gets a new connection instead.
+func TestStaleConnection(t *testing.T) {
 	for name, row := range map[string]struct {
 		maxRest time.Duration
 		lost    bool
 	}{
-		"may have rested for any time": {0, true},
-		"may not have rested":          {time.Nanosecond, false},
+		"any idle time": {0, true},
+		"no idle time":  {time.Nanosecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/dataplane/client/conn.go
+++ b/internal/dataplane/client/conn.go
@@ -16,84 +16,85 @@
 
 const (
 	readBufferBytes = 4 << 10
-	// maxInterim bounds the interim answers before an answer.
-	maxInterim = 8
-	// maxStray bounds the answers to other requests that are skipped.
-	maxStray = 2
-	// parallelBody is the size from which a body is written while the answer is
-	// awaited, as a server may answer early.
-	parallelBody = 16 << 10
-	// maxStrayBytes bounds the body of an answer to another request.
-	maxStrayBytes = 4 << 20
+	// maxInterimResponses limits the interim (1xx) responses before a final one.
+	maxInterimResponses = 8
+	// maxMismatches limits the skipped responses to other requests.
+	maxMismatches = 2
+	// minConcurrentBody is the size above which a body is written while the response is
+	// read, as a server may respond early.
+	minConcurrentBody = 16 << 10
+	// maxMismatchBytes limits the body of a skipped response.
+	maxMismatchBytes = 4 << 20
 )
 
-var errStray = errors.New("the answer belongs to another request")
+var errIDMismatch = errors.New("the response belongs to another request")
 
-// conn is one connection.
+// conn is one connection to the server and the state of the exchange on it.
 type conn struct {
 	net.Conn
 	pool      *Pool
 	reader    *bufio.Reader
 	exchanges int
-	// restsSince is when the last answer ended, or the connection was made: nothing has come
-	// on it since.
-	restsSince time.Time
-	// rest is how long the connection may rest.
-	rest time.Duration
-	// lastAnswer closes the connection after this answer.
-	lastAnswer bool
-	// writing is a body that is written beside the reading, nil for none.
+	// idleSince is when the last response ended, or the connection was established: nothing
+	// has been received on it since.
+	idleSince time.Time
+	// idleTimeout is how long the connection may be idle.
+	idleTimeout time.Duration
+	// closeAfter is set when the connection closes after this response.
+	closeAfter bool
+	// writing is the body that is being written while the response is read, nil for none.
 	writing *bodyWrite
-	// unsent is the body that waits for the server's word.
+	// unsent is the body that waits for a 100 (Continue) response.
 	unsent []byte
 }
 
-// usable reports whether nothing came on a resting connection and it is young.
-func (c *conn) usable(now time.Time) bool {
-	return now.Sub(c.restsSince) < c.rest && c.reader.Buffered() == 0 && isSilent(c.Conn)
+// isReusable reports whether an idle connection is open, has received nothing and has not
+// reached its idle timeout.
+func (c *conn) isReusable(now time.Time) bool {
+	return now.Sub(c.idleSince) < c.idleTimeout && c.reader.Buffered() == 0 && isOpenAndEmpty(c.Conn)
 }
 
-// exchange writes a request and reads the header of its answer.
+// exchange writes a request and reads the header of its response.
 func (c *conn) exchange(ctx context.Context, request *Request, idHeader string) (*Response, *Error) {
 	c.exchanges++
-	c.lastAnswer, c.writing, c.unsent = false, nil, nil
+	c.closeAfter, c.writing, c.unsent = false, nil, nil
 	if failure := c.write(request); failure != nil {
 		return nil, failure
 	}
-	for stray := 0; ; stray++ {
-		response, err := c.readAnswer(ctx, request)
+	for mismatches := 0; ; mismatches++ {
+		response, err := c.readFinalHeader(ctx, request)
 		if err != nil {
-			return nil, c.readFailure(err)
+			return nil, c.newReadError(err)
 		}
-		if idHeader == "" || c.belongs(response, request, idHeader) {
+		if idHeader == "" || c.matchesRequest(response, request, idHeader) {
 			return c.newResponse(response), nil
 		}
-		copied, err := io.CopyN(io.Discard, response.Body, maxStrayBytes)
-		if stray >= maxStray || response.Close || copied == maxStrayBytes || !errors.Is(err, io.EOF) {
-			return nil, &Error{Progress: SentWhole, Invalid: true, Err: errStray}
+		copied, err := io.CopyN(io.Discard, response.Body, maxMismatchBytes)
+		if mismatches >= maxMismatches || response.Close || copied == maxMismatchBytes || !errors.Is(err, io.EOF) {
+			return nil, &Error{Progress: SentWhole, Invalid: true, Err: errIDMismatch}
 		}
 	}
 }
 
-// belongs reports whether an answer gives back the id of the request.
-func (c *conn) belongs(response *http.Response, request *Request, idHeader string) bool {
+// matchesRequest reports whether a response repeats the ID of the request.
+func (c *conn) matchesRequest(response *http.Response, request *Request, idHeader string) bool {
 	ids := response.Header[idHeader]
 	return len(ids) == 1 && ids[0] == request.ID
 }
 
-func (c *conn) readFailure(err error) *Error {
+func (c *conn) newReadError(err error) *Error {
 	var network net.Error
 	var silent *SilenceError
 	if errors.As(err, &silent) {
 		return &Error{Progress: c.progress(), Silent: true, Err: err}
 	}
 	invalid := !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.As(err, &network)
-	return &Error{Progress: c.progress(), Invalid: invalid, Err: eris.Wrap(err, "read the answer")}
+	return &Error{Progress: c.progress(), Invalid: invalid, Err: eris.Wrap(err, "read the response")}
 }
 
-// progress is how much of the request the server may have got to run, where its answer
-// cannot be read. A body that is still being written is cut first, as it is not known
-// otherwise whether its last piece has gone.
+// progress returns how much of the request the server may have received when its response
+// cannot be read. It first aborts a body that is still being written, as otherwise the last
+// part could still be sent afterwards.
 func (c *conn) progress() Progress {
 	switch {
 	case c.unsent != nil:
@@ -108,11 +109,11 @@
 	return SentWhole
 }
 
-// write sends the request; a long body goes out beside the reading.
+// write sends the request. A large body is written while the response is read.
 func (c *conn) write(request *Request) *Error {
 	var head bytes.Buffer
 	encodeHead(&head, request, c.pool.options.ProgressHeader)
-	if len(request.Body) <= parallelBody && !request.AskFirst {
+	if len(request.Body) <= minConcurrentBody && !request.AskFirst {
 		head.Write(request.Body)
 		return c.writeAll(head.Bytes())
 	}
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// writeBody writes a body beside the reading, at no more than pace bytes a second.
+// writeBody starts to write a body, at no more than pace bytes per second.
 func (c *conn) writeBody(body []byte, pace int64) {
 	writing, pacer := &bodyWrite{ended: make(chan struct{})}, c.pool.options.Pacer
 	c.writing = writing
@@ -137,18 +138,18 @@
 	}()
 }
 
-// bodyWrite is a body on its way.
+// bodyWrite is the writing of a body in the background.
 type bodyWrite struct {
-	ended chan struct{} // closed at the end
+	ended chan struct{} // closed when the writing ends
 	err   error         // set before ended is closed
 }
 
-// goOn sends the body that the server has granted.
-func (c *conn) goOn(grant *http.Response) {
+// handleContinue sends the body that waits for a 100 (Continue) response.
+func (c *conn) handleContinue(response *http.Response) {
 	if c.unsent == nil {
 		return
 	}
-	pace, err := strconv.ParseInt(grant.Header.Get(c.pool.options.PaceHeader), 10, 64)
+	pace, err := strconv.ParseInt(response.Header.Get(c.pool.options.PaceHeader), 10, 64)
 	if err != nil || pace < 0 {
 		pace = 0
 	}
@@ -169,7 +170,7 @@
 	}
 }
 
-// encodeHead writes the request line and the fields.
+// encodeHead writes the request line and the header fields.
 func encodeHead(head *bytes.Buffer, request *Request, progressHeader string) {
 	head.WriteString(request.Method)
 	head.WriteByte(' ')
@@ -177,7 +178,7 @@
 	head.WriteString(" HTTP/1.1\r\nHost: ")
 	head.WriteString(request.Host)
 	head.WriteString("\r\n")
-	_ = request.Header.Write(head) // a buffer takes everything
+	_ = request.Header.Write(head) // writing to a buffer does not fail
 	if request.AskFirst {
 		head.WriteString("Expect: 100-continue\r\n")
 	}
@@ -193,11 +194,10 @@
 	head.WriteString("\r\n")
 }
 
-// readAnswer reads the header of the next answer that is not an interim one. Reports of
-// progress may be many from a server that was asked for them: the time of the request bounds
-// them.
-func (c *conn) readAnswer(ctx context.Context, request *Request) (*http.Response, error) {
-	for interim := 0; interim < maxInterim; interim++ {
+// readFinalHeader reads up to the header of the next final response. The number of progress
+// reports that were asked for is not limited: the deadline of the request bounds the wait.
+func (c *conn) readFinalHeader(ctx context.Context, request *Request) (*http.Response, error) {
+	for interim := 0; interim < maxInterimResponses; interim++ {
 		response, err := c.readHeader(ctx, request)
 		switch {
 		case err != nil:
@@ -207,41 +207,41 @@
 		case response.StatusCode == http.StatusSwitchingProtocols:
 			return nil, eris.New("the server switched to another protocol")
 		case response.StatusCode == http.StatusContinue:
-			c.goOn(response)
+			c.handleContinue(response)
 		case response.StatusCode == http.StatusProcessing && c.pool.options.ProgressHeader != "":
-			c.pool.reports.Store(true)
+			c.pool.reportsProgress.Store(true)
 			interim--
 		}
 	}
-	return nil, eris.New("too many interim answers")
+	return nil, eris.New("too many interim responses")
 }
 
-// lastPieceTime is how long the end of a body is awaited that its server has read.
-const lastPieceTime = time.Second
+// bodyFinishTimeout limits the wait for the write of a body to return after the response.
+const bodyFinishTimeout = time.Second
 
-// abort closes the connection and drops what was written and has not been sent: the end
-// of a connection otherwise comes behind a body that waits on a slow link, and its
-// server would run a request whose caller has long left.
+// abort closes the connection and discards data that is still in the send buffer. Otherwise
+// a slow link would deliver the rest of the body before the close, and the server would run
+// a request whose caller has already left.
 func (c *conn) abort() {
-	if lingering, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		_ = lingering.SetLinger(0)
+	if lingerer, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
+		_ = lingerer.SetLinger(0)
 	}
 	_ = c.Conn.Close()
 }
 
-// awaitWritten reports whether the whole request was written. A server that answers
-// only whole requests has all of it, though the write may not have returned yet.
+// awaitWritten reports whether the whole request was written. A server that runs only
+// complete requests has received all of it, although the write may not have returned yet.
 func (c *conn) awaitWritten() bool {
 	if c.writing == nil || !c.pool.options.RunsWholeOnly {
 		return c.written()
 	}
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(lastPieceTime))
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(bodyFinishTimeout))
 	<-c.writing.ended
 	_ = c.Conn.SetWriteDeadline(time.Time{})
 	return c.writing.err == nil
 }
 
-// written reports whether the whole request was written.
+// written reports whether the whole request has been written so far.
 func (c *conn) written() bool {
 	if c.writing == nil {
 		return true
--- a/internal/dataplane/client/gone.go
+++ b/internal/dataplane/client/gone.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// goneAttempts is how many connections are tried: the first may still be taken by a
-	// process that is ending.
+	// goneAttempts is how many connections are tried: a process that is exiting may still
+	// accept the first.
 	goneAttempts = 2
-	// settleTime is how long a new connection must stay open to count: a process that ends
-	// closes all it has within a millisecond.
-	settleTime = 10 * time.Millisecond
-	// goneTimeout bounds the making of a connection; on one machine it takes a millisecond.
+	// minOpenTime is how long a new connection must stay open to count: an exiting process
+	// closes all its connections within a millisecond.
+	minOpenTime = 10 * time.Millisecond
+	// goneTimeout limits the time to establish a connection; within one machine it takes a
+	// millisecond.
 	goneTimeout = 300 * time.Millisecond
 )
 
-// IsGone reports whether nothing listens at the server's address any more, as when its process
-// has ended. It tries to connect; a connection that is made is kept for later requests.
+// IsGone reports whether nothing listens at the server's address, as when its process has
+// exited. It tries to connect and keeps a successful connection for later requests.
 func (p *Pool) IsGone() bool {
 	for range goneAttempts {
 		ctx, cancel := context.WithTimeout(context.Background(), goneTimeout)
-		made, err := p.dial(ctx)
+		dialed, err := p.dial(ctx)
 		cancel()
 		if err != nil {
 			return errors.Is(err, syscall.ECONNREFUSED)
 		}
-		if made.staysOpen(settleTime) {
-			p.put(made)
+		if dialed.staysOpen(minOpenTime) {
+			p.put(dialed)
 			return false
 		}
-		p.drop(made)
+		p.drop(dialed)
 	}
 	return false
 }
 
-// staysOpen reports whether nothing comes on a new connection, its end neither, for a while.
+// staysOpen reports whether a new connection stays open and receives nothing for the duration.
 func (c *conn) staysOpen(duration time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(duration))
 	_, err := c.reader.Peek(1)
--- a/internal/dataplane/client/gone_test.go
+++ b/internal/dataplane/client/gone_test.go
@@ -8,7 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestIsGone tells a server that ended from one that closes or resets connections.
+// TestIsGone: only a server that no longer listens is gone, not one that closes or resets
+// connections.
 func TestIsGone(t *testing.T) {
 	listen := func(c *qt.C, each func(net.Conn)) *net.TCPListener {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,16 +32,16 @@
 		pool := NewPool(Options{Address: listener.Addr().String(), ConnectTimeout: time.Minute, IdleTimeout: time.Minute})
 		defer pool.Close()
 		c.Check(pool.IsGone(), qt.IsFalse)
-		c.Check(pool.Open(), qt.Equals, 1) // the connection is kept
+		c.Check(pool.Open(), qt.Equals, 1) // the connection is kept for reuse
 	})
-	t.Run("closes what comes", func(t *testing.T) {
+	t.Run("closes connections", func(t *testing.T) {
 		c := qt.New(t)
 		listener := listen(c, func(conn net.Conn) { _ = conn.Close() })
 		pool := NewPool(Options{Address: listener.Addr().String(), ConnectTimeout: time.Minute, IdleTimeout: time.Minute})
 		c.Check(pool.IsGone(), qt.IsFalse)
 		c.Check(pool.Open(), qt.Equals, 0)
 	})
-	t.Run("resets what comes", func(t *testing.T) {
+	t.Run("resets connections", func(t *testing.T) {
 		c := qt.New(t)
 		listener := listen(c, func(conn net.Conn) {
 			_ = conn.(*net.TCPConn).SetLinger(0)
@@ -49,7 +50,7 @@
 		pool := NewPool(Options{Address: listener.Addr().String(), ConnectTimeout: time.Minute, IdleTimeout: time.Minute})
 		c.Check(pool.IsGone(), qt.IsFalse)
 	})
-	t.Run("ended", func(t *testing.T) {
+	t.Run("no longer listens", func(t *testing.T) {
 		c := qt.New(t)
 		listener := listen(c, func(net.Conn) {})
 		address := listener.Addr().String()
--- a/internal/dataplane/client/progress_test.go
+++ b/internal/dataplane/client/progress_test.go
@@ -15,19 +15,19 @@
 	"github.com/winchhead/winchhead/internal/dataplane/client"
 )
 
-// TestProgressOfLargeBody: a server that breaks off after it has the whole body may have
-// run the request; one that breaks off before has not, if it runs whole requests only.
+// TestProgressOfLargeBody: a server that closes the connection after it received the whole body
+// may have run the request; if it closes before and runs only complete requests, it has not.
 func TestProgressOfLargeBody(t *testing.T) {
 	const size = 200_000
 	for name, row := range map[string]struct {
-		grants, takesBody, wholeOnly bool
-		want                         client.Progress
+		continues, takesBody, wholeOnly bool
+		want                            client.Progress
 	}{
-		"never granted":                         {false, false, true, client.SentPart},
-		"broken in the body":                    {true, false, true, client.SentPart},
-		"broken in the body, runs parts":        {true, false, false, client.SentWhole},
-		"broken after the body":                 {true, true, true, client.SentWhole},
-		"broken after the body, may run before": {true, true, false, client.SentWhole},
+		"no 100 Continue":                       {false, false, true, client.SentPart},
+		"closed within the body":                {true, false, true, client.SentPart},
+		"closed within the body, runs parts":    {true, false, false, client.SentWhole},
+		"closed after the body":                 {true, true, true, client.SentWhole},
+		"closed after the body, may run before": {true, true, false, client.SentWhole},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -41,7 +41,7 @@
 				}
 				defer conn.Close()
 				reader := bufio.NewReader(conn)
-				if _, err := http.ReadRequest(reader); err != nil || !row.grants {
+				if _, err := http.ReadRequest(reader); err != nil || !row.continues {
 					return
 				}
 				_, _ = io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n")
@@ -55,7 +55,7 @@
 			defer pool.Close()
 			_, err = pool.Do(context.Background(), &client.Request{
 				Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, AskFirst: true,
-				// More than the buffers of the connection hold.
+				// More than the connection's buffers can hold, unless the server reads it.
 				Body: bytes.Repeat([]byte("x"), map[bool]int{true: size, false: 64 << 20}[row.takesBody]),
 			})
 			var failure *client.Error
@@ -65,15 +65,15 @@
 	}
 }
 
-// TestCallerLeavesInLargeBody: once the caller has left, what of its body waits to be
-// sent is dropped, so that the server does not get the whole request later.
-func TestCallerLeavesInLargeBody(t *testing.T) {
-	const size = 64 << 20 // more than the buffers of the connection hold
+// TestCancelDropsUnsentBody: when the caller cancels, the unsent rest of the body is dropped,
+// so that the server does not receive the complete request later.
+func TestCancelDropsUnsentBody(t *testing.T) {
+	const size = 64 << 20 // more than the connection's buffers can hold
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
-	granted, left, got := make(chan struct{}), make(chan struct{}), make(chan error, 1)
+	continued, left, got := make(chan struct{}), make(chan struct{}), make(chan error, 1)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -85,8 +85,8 @@
 		_, _ = http.ReadRequest(reader)
 		_, _ = io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n")
 		_, _ = reader.Peek(1)
-		close(granted)
-		<-left // reads on only now, as a slow link does
+		close(continued)
+		<-left // continues to read only now, like a slow link
 		_, err = io.Copy(io.Discard, reader)
 		got <- err
 	}()
@@ -94,7 +94,7 @@
 	defer pool.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		<-granted
+		<-continued
 		cancel()
 	}()
 	_, err = pool.Do(ctx, &client.Request{
--- a/internal/dataplane/client/response.go
+++ b/internal/dataplane/client/response.go
@@ -9,17 +9,17 @@
 )
 
 func (c *conn) newResponse(parsed *http.Response) *Response {
-	c.lastAnswer = parsed.Close || parsed.ContentLength < 0 && len(parsed.TransferEncoding) == 0
-	if seconds, ok := keepAliveOf(parsed.Header); ok {
-		c.rest = restOf(seconds)
+	c.closeAfter = parsed.Close || parsed.ContentLength < 0 && len(parsed.TransferEncoding) == 0
+	if seconds, ok := keepAliveTimeout(parsed.Header); ok {
+		c.idleTimeout = reuseLimit(seconds)
 	}
 	response := &Response{Status: parsed.StatusCode, Header: parsed.Header, Length: parsed.ContentLength}
 	response.Body = &bodyReader{inner: parsed.Body, response: response}
 	return response
 }
 
-// keepAliveOf reads how long the server keeps a resting connection.
-func keepAliveOf(header http.Header) (seconds int, ok bool) {
+// keepAliveTimeout returns the idle timeout of the server, from its Keep-Alive field.
+func keepAliveTimeout(header http.Header) (seconds int, ok bool) {
 	for _, value := range header["Keep-Alive"] {
 		for part := range strings.SplitSeq(value, ",") {
 			name, text, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -34,51 +34,52 @@
 	return 0, false
 }
 
-// restOf stays clear of the moment at which the server closes.
-func restOf(seconds int) time.Duration {
-	const margin = 4 // a quarter is left
-	whole := time.Duration(seconds) * time.Second
-	return whole - min(whole/margin+100*time.Millisecond, time.Second)
+// reuseLimit returns how long a connection may be idle, a margin below the server's timeout,
+// so that no request is sent just as the server closes.
+func reuseLimit(seconds int) time.Duration {
+	const margin = 4 // a quarter of the timeout
+	timeout := time.Duration(seconds) * time.Second
+	return timeout - min(timeout/margin+100*time.Millisecond, time.Second)
 }
 
-// bodyReader notes whether the body came to its end.
+// bodyReader records whether the body was read to its end.
 type bodyReader struct {
 	inner    io.Reader
 	response *Response
 }
 
-// Read reads the body; io.EOF is its whole end.
+// Read reads the body; it returns io.EOF only after the complete body.
 func (r *bodyReader) Read(data []byte) (int, error) {
 	count, err := r.inner.Read(data)
 	if err == io.EOF {
-		r.response.whole = true
+		r.response.complete = true
 	}
 	return count, err
 }
 
-// HeldBodyBytes is the size up to which an answer is held until it is whole, so that
-// a broken one can still be replaced.
-const HeldBodyBytes = 1 << 20
+// MaxBufferedBodyBytes is the size up to which a response is buffered completely before it is
+// passed on, so that an incomplete one can still be replaced.
+const MaxBufferedBodyBytes = 1 << 20
 
-// Hold reads a short body to its end. whole is false for a long one and for a
-// stream of events, of which the rest is still to be read from Body.
+// Hold reads a short body to its end. For a long body or a stream of events whole is false,
+// and the rest is still to be read from Body.
 func (r *Response) Hold() (start []byte, whole bool, err error) {
-	if r.Length > HeldBodyBytes || strings.HasPrefix(r.Header.Get("Content-Type"), "text/event-stream") {
+	if r.Length > MaxBufferedBodyBytes || strings.HasPrefix(r.Header.Get("Content-Type"), "text/event-stream") {
 		return nil, false, nil
 	}
-	start, err = io.ReadAll(io.LimitReader(r.Body, HeldBodyBytes))
-	return start, err == nil && len(start) < HeldBodyBytes, err
+	start, err = io.ReadAll(io.LimitReader(r.Body, MaxBufferedBodyBytes))
+	return start, err == nil && len(start) < MaxBufferedBodyBytes, err
 }
 
-// Discard reads a short answer that nobody wants, so that its connection can be
-// used again.
+// Discard reads and drops the body of an unwanted response, if it is short, so that the
+// connection can be reused.
 func (r *Response) Discard() {
-	_, _ = io.CopyN(io.Discard, r.Body, HeldBodyBytes)
+	_, _ = io.CopyN(io.Discard, r.Body, MaxBufferedBodyBytes)
 	_ = r.Close()
 }
 
-// Close ends the exchange: the connection is kept when the whole answer was read
-// and nothing else is on it.
+// Close ends the exchange. The connection is kept for reuse when the complete response was
+// read and no other data is left on it.
 func (r *Response) Close() error {
 	if r.owner == nil {
 		return nil
@@ -86,7 +87,7 @@
 	owner := r.owner
 	r.owner = nil
 	stopped := r.stop()
-	if !stopped || !r.whole || owner.lastAnswer || !owner.awaitWritten() || owner.reader.Buffered() > 0 {
+	if !stopped || !r.complete || owner.closeAfter || !owner.awaitWritten() || owner.reader.Buffered() > 0 {
 		owner.pool.drop(owner)
 		return nil
 	}
--- a/internal/dataplane/client/silence.go
+++ b/internal/dataplane/client/silence.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// SilenceError is the end of a wait in which nothing came from a server that reports the
-// progress of its requests.
+// SilenceError is returned when a server that reports progress has sent nothing for the
+// request's silence limit.
 type SilenceError struct {
-	// Limit is how long nothing came.
+	// Limit is how long nothing was received.
 	Limit time.Duration
 }
 
-// Error tells how long nothing came.
-func (e *SilenceError) Error() string { return fmt.Sprintf("nothing came for %s", e.Limit) }
+// Error returns a message with the limit.
+func (e *SilenceError) Error() string { return fmt.Sprintf("nothing received for %s", e.Limit) }
 
-// readHeader reads one header, interim or final, within the request's silence limit.
+// readHeader reads the header of one interim or final response within the silence limit.
 func (c *conn) readHeader(ctx context.Context, request *Request) (*http.Response, error) {
 	limit := c.silenceLimit(request)
 	if limit > 0 {
@@ -33,17 +33,18 @@
 	return response, err
 }
 
-// silenceLimit is how long the next header may take to come; zero: no limit. A server
-// reports on requests that it has whole, and a long body may still be on its way when it was
-// written here.
+// silenceLimit returns how long to wait for the next header; zero: no limit. A server sends
+// reports only for requests that it has received completely, and a large body may still be
+// in transit after it was written here.
 func (c *conn) silenceLimit(request *Request) time.Duration {
-	if !c.pool.reports.Load() || c.unsent != nil || len(request.Body) > parallelBody || !c.written() {
+	if !c.pool.reportsProgress.Load() || c.unsent != nil || len(request.Body) > minConcurrentBody || !c.written() {
 		return 0
 	}
 	return request.SilenceLimit
 }
 
-// setReadDeadline bounds the next reads, unless the context has ended: its deadline holds then.
+// setReadDeadline sets the deadline of the next reads. If the context has ended, the expired
+// deadline stays.
 func (c *conn) setReadDeadline(ctx context.Context, deadline time.Time) {
 	_ = c.SetReadDeadline(deadline)
 	if ctx.Err() != nil {
--- a/internal/dataplane/client/silence_test.go
+++ b/internal/dataplane/client/silence_test.go
@@ -22,13 +22,13 @@
 	progressText = "HTTP/1.1 102 Processing\r\n\r\n"
 )
 
-// scriptedServer does on each connection, in order, what its script says: each request is
-// answered with the next text; an empty one is silence for good.
+// scriptedServer answers each request on a connection with the next text of the connection's
+// script; after an empty text it sends nothing.
 type scriptedServer struct {
 	address string
 	mutex   sync.Mutex
 	scripts [][]string
-	// requests are the targets of all requests, by connection.
+	// requests holds the targets of all requests, by connection.
 	requests [][]string
 }
 
@@ -75,7 +75,7 @@
 	return &client.Request{Method: http.MethodGet, Target: target, Host: "h", Header: http.Header{}, ID: "verify", SilenceLimit: limit}
 }
 
-// do sends a request and returns the progress of one that failed, zero for an answer.
+// do sends a request and returns its progress if it failed, zero if it was answered.
 func do(c *qt.C, pool *client.Pool, request *client.Request) (client.Progress, error) {
 	response, err := pool.Do(context.Background(), request)
 	var failure *client.Error
@@ -87,19 +87,19 @@
 	return 0, nil
 }
 
-// newProgressPool returns a pool that asks the server for reports of progress.
+// newProgressPool returns a pool that asks the server for progress reports.
 func newProgressPool(server *scriptedServer) *client.Pool {
 	return client.NewPool(client.Options{
 		Address: server.address, ConnectTimeout: time.Minute, IdleTimeout: time.Hour, ProgressHeader: "X-Progress",
 	})
 }
 
-// TestSilentConnectionGetsNoRequest: connections may fall silent one by one, while others to
-// the same server work. One on which nothing came for a while gets a liveness check before a
-// request, whatever came on others: a request sent on it hung until its time was over, and
-// nobody could say whether it had run.
-func TestSilentConnectionGetsNoRequest(t *testing.T) {
-	const answersWithin = 2 * time.Second // the server that is there, on a busy machine too
+// TestIdleConnectionIsCheckedBeforeReuse: a connection can die while others to the same server
+// work. One that was idle for a while gets a liveness check before a request, even if others
+// received data: without it the request hung until its timeout, and it was not known whether
+// it had run.
+func TestIdleConnectionIsCheckedBeforeReuse(t *testing.T) {
+	const checkTimeout = 2 * time.Second // the healthy connection must answer within it, even on a busy machine
 	c := qt.New(t)
 	now := time.Now()
 	server := newScriptedServer(c,
@@ -108,7 +108,7 @@
 		[]string{answerText})
 	pool := client.NewPool(client.Options{
 		Address: server.address, IDHeader: verifyIDHeader, ConnectTimeout: time.Minute, IdleTimeout: time.Hour,
-		VerifyAfter: time.Minute, VerifyRested: time.Second, VerifyTimeout: answersWithin, Now: func() time.Time { return now },
+		VerifyAfter: time.Minute, VerifyRested: time.Second, VerifyTimeout: checkTimeout, Now: func() time.Time { return now },
 	})
 	c.Cleanup(pool.Close)
 	hold := func(target string) *client.Response {
@@ -118,9 +118,9 @@
 	}
 	first, second := hold("/1"), hold("/2")
 	first.Discard()
-	second.Discard() // is used next
+	second.Discard() // is reused first
 	now = now.Add(10 * time.Second)
-	busy := hold("/3") // after a check
+	busy := hold("/3") // after a liveness check
 	_, err := do(c, pool, get("/4", 0))
 	c.Check(err, qt.ErrorMatches, ".*liveness check.*")
 	busy.Discard()
@@ -128,10 +128,10 @@
 	c.Check(server.got(1), qt.DeepEquals, []string{"/2", client.VerifyTarget, "/3"})
 }
 
-// TestSilenceInARequest: a server that says how requests go on, and then says nothing, is
-// given up, so that the request can be sent elsewhere while there is time. Without that a
-// request on a connection that fell silent hung until its time was over.
-func TestSilenceInARequest(t *testing.T) {
+// TestSilenceDuringRequest: a request fails when a server that reports progress stops doing
+// so, and can be sent elsewhere before its deadline. Without that, a request on a dead
+// connection hung until its timeout.
+func TestSilenceDuringRequest(t *testing.T) {
 	const limit = 20 * time.Millisecond
 	c := qt.New(t)
 	server := newScriptedServer(c,
@@ -143,14 +143,14 @@
 	c.Assert(err, qt.IsNil)
 	progress, err := do(c, pool, get("/silent", limit))
 	c.Check(progress, qt.Equals, client.SentWhole)
-	c.Check(err, qt.ErrorMatches, ".*nothing came for 20ms.*")
+	c.Check(err, qt.ErrorMatches, ".*nothing received for 20ms.*")
 	_, err = do(c, pool, get("/elsewhere", limit))
 	c.Check(err, qt.IsNil)
 }
 
-// TestServerThatSaysNothingOfProgress: the silence of a server means nothing that never says
-// how requests go on, as one of an earlier version does.
-func TestServerThatSaysNothingOfProgress(t *testing.T) {
+// TestServerWithoutProgressReports: the silence limit does not apply to a server that never
+// reports progress, such as one of an earlier version.
+func TestServerWithoutProgressReports(t *testing.T) {
 	c := qt.New(t)
 	server := newScriptedServer(c, []string{""})
 	pool := newProgressPool(server)
@@ -161,9 +161,9 @@
 	c.Check(err, qt.ErrorIs, context.DeadlineExceeded)
 }
 
-// TestManyReportsOfProgress: a request may go on for as long as its time lasts, where reports
-// were asked for. Of a server that was not asked, as an instance, a few interim answers do.
-func TestManyReportsOfProgress(t *testing.T) {
+// TestManyProgressReports: where progress reports were asked for, their number is not limited.
+// A server that was not asked, such as an instance, may send only a few interim responses.
+func TestManyProgressReports(t *testing.T) {
 	const reports = 100
 	for name, asked := range map[string]bool{"asked for": true, "not asked for": false} {
 		t.Run(name, func(t *testing.T) {
@@ -180,12 +180,12 @@
 	}
 }
 
-// TestConnectionsOfASilentServerAreNotKept: when one request hears nothing, the connections
-// that rested meanwhile may be as silent: the next request gets a new one.
-func TestConnectionsOfASilentServerAreNotKept(t *testing.T) {
+// TestIdleConnectionsOfSilentServerAreDropped: when a request fails by silence, the connections
+// that were idle meanwhile may be dead too, so the next request gets a new one.
+func TestIdleConnectionsOfSilentServerAreDropped(t *testing.T) {
 	c := qt.New(t)
 	server := newScriptedServer(c,
-		[]string{answerText, ""}, // rests
+		[]string{answerText, ""}, // stays idle
 		[]string{progressText + answerText, ""},
 		[]string{answerText})
 	pool := newProgressPool(server)
--- a/internal/dataplane/client/socket_linux.go
+++ b/internal/dataplane/client/socket_linux.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// isSilent reports whether a resting connection is open and nothing came on it.
-func isSilent(conn net.Conn) bool {
+// isOpenAndEmpty reports whether an idle connection is open and has no data to read.
+func isOpenAndEmpty(conn net.Conn) bool {
 	direct, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -19,17 +19,17 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = err == unix.EAGAIN || err == unix.EWOULDBLOCK
+		empty = err == unix.EAGAIN || err == unix.EWOULDBLOCK
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
 
-// The times after which a peer that says nothing is given up.
+// The TCP timeouts after which a connection to an unresponsive peer fails.
 const (
 	unacknowledgedTimeout = 1500 * time.Millisecond
 	keepAliveIdle         = time.Second
@@ -37,8 +37,8 @@
 	keepAliveCount        = 3
 )
 
-// DialRemote makes a connection to another machine that fails soon after the
-// machine or the network between is gone, instead of hanging.
+// DialRemote establishes a connection to another machine. If the machine or the network
+// fails, the connection soon returns errors instead of hanging.
 func DialRemote(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/internal/dataplane/client/socket_other.go
+++ b/internal/dataplane/client/socket_other.go
@@ -7,10 +7,10 @@
 	"net"
 )
 
-// isSilent cannot tell on this system: a request finds out.
-func isSilent(net.Conn) bool { return true }
+// isOpenAndEmpty always returns true: on this system only the next request can tell.
+func isOpenAndEmpty(net.Conn) bool { return true }
 
-// DialRemote makes a connection with the system's own times.
+// DialRemote establishes a connection with the system's default timeouts.
 func DialRemote(ctx context.Context, network, address string) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
--- a/internal/dataplane/client/verify.go
+++ b/internal/dataplane/client/verify.go
@@ -9,40 +9,40 @@
 	"github.com/rotisserie/eris"
 )
 
-// A liveness check is an OPTIONS request for the server itself (RFC 9110, 9.3.7), which
-// the server answers at once.
+// A liveness check is an OPTIONS request for the server itself (RFC 9110, section 9.3.7),
+// which the server answers immediately.
 const (
 	VerifyMethod = http.MethodOptions
 	VerifyTarget = "*"
 	verifyID     = "verify"
 )
 
-// verify sends a liveness check and waits at most the timeout for its answer. After an
-// error the connection cannot be used again.
+// verify sends a liveness check and waits for its response until the timeout. After an
+// error the connection cannot be reused.
 func (c *conn) verify(ctx context.Context, timeout time.Duration) error {
-	question := &Request{
+	check := &Request{
 		Method: VerifyMethod, Target: VerifyTarget, Host: c.pool.options.Address,
 		Header: http.Header{}, ID: verifyID,
 	}
 	if name := c.pool.options.IDHeader; name != "" {
-		question.Header[name] = []string{verifyID}
+		check.Header[name] = []string{verifyID}
 	}
 	_ = c.SetDeadline(time.Now().Add(timeout))
 	if ctx.Err() != nil {
 		_ = c.SetDeadline(past)
 	}
-	if failure := c.write(question); failure != nil {
+	if failure := c.write(check); failure != nil {
 		return eris.Wrap(failure, "send the liveness check")
 	}
-	answer, err := http.ReadResponse(c.reader, &http.Request{Method: VerifyMethod})
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: VerifyMethod})
 	if err != nil {
-		return eris.Wrap(err, "wait for the answer to the liveness check")
+		return eris.Wrap(err, "wait for the response to the liveness check")
 	}
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.Close {
-		return eris.New("the answer to the liveness check closes the connection")
+	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
+		return eris.New("the response to the liveness check closes the connection")
 	}
-	if !c.belongs(answer, question, c.pool.options.IDHeader) {
-		return errStray
+	if !c.matchesRequest(response, check, c.pool.options.IDHeader) {
+		return errIDMismatch
 	}
 	_ = c.SetDeadline(time.Time{})
 	if ctx.Err() != nil {
--- a/internal/dataplane/client/verify_test.go
+++ b/internal/dataplane/client/verify_test.go
@@ -18,9 +18,9 @@
 
 const verifyIDHeader = "X-Id"
 
-// falteringServer answers every request until it is told to fall silent. It notes the
-// targets that it got.
-func falteringServer(c *qt.C, silent *atomic.Bool, targets chan<- string) string {
+// newSilenceableServer starts a server that answers every request until silent is set, sends
+// the target of each request to targets, and returns its address.
+func newSilenceableServer(c *qt.C, silent *atomic.Bool, targets chan<- string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = listener.Close() })
@@ -49,16 +49,16 @@
 	return listener.Addr().String()
 }
 
-// TestSilentServerGetsNoRequest: a server from which nothing came for a while is asked
-// whether it is there. One that says nothing has not got the request, which can then be
-// sent elsewhere whatever it does (found on days on which nodes lose power: bookings that
-// hung on them ended with "may have run").
-func TestSilentServerGetsNoRequest(t *testing.T) {
+// TestFailedLivenessCheckSendsNoRequest: a server that sent nothing for a while gets a liveness
+// check first. If the check fails, the request was not sent and can be sent elsewhere, even if
+// it is not idempotent. Without it, requests to nodes that lost power hung and counted as
+// possibly run.
+func TestFailedLivenessCheckSendsNoRequest(t *testing.T) {
 	c := qt.New(t)
 	var silent atomic.Bool
 	targets := make(chan string, 10)
 	pool := client.NewPool(client.Options{
-		Address: falteringServer(c, &silent, targets), IDHeader: verifyIDHeader, ConnectTimeout: time.Minute, IdleTimeout: time.Minute,
+		Address: newSilenceableServer(c, &silent, targets), IDHeader: verifyIDHeader, ConnectTimeout: time.Minute, IdleTimeout: time.Minute,
 		VerifyAfter: time.Nanosecond, VerifyTimeout: time.Millisecond,
 	})
 	c.Cleanup(pool.Close)
@@ -80,13 +80,13 @@
 	c.Check(targets, qt.HasLen, 0)
 }
 
-// TestServerThatAnswersGetsTheRequest: the question and the request pass on one connection.
-func TestServerThatAnswersGetsTheRequest(t *testing.T) {
+// TestRequestFollowsLivenessCheck: the check and the request use the same connection.
+func TestRequestFollowsLivenessCheck(t *testing.T) {
 	c := qt.New(t)
 	var silent atomic.Bool
 	targets := make(chan string, 10)
 	pool := client.NewPool(client.Options{
-		Address: falteringServer(c, &silent, targets), IDHeader: verifyIDHeader, ConnectTimeout: time.Minute, IdleTimeout: time.Minute,
+		Address: newSilenceableServer(c, &silent, targets), IDHeader: verifyIDHeader, ConnectTimeout: time.Minute, IdleTimeout: time.Minute,
 		VerifyAfter: time.Nanosecond, VerifyTimeout: time.Minute,
 	})
 	c.Cleanup(pool.Close)
