--- a/internal/dataplane/server/admit.go
+++ b/internal/dataplane/server/admit.go
@@ -8,32 +8,33 @@
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 )
 
-// asksFirst reports whether the sender waits for a word before it sends the body, and
-// that word is not given to everybody.
-func (c *connection) asksFirst(parsed *http.Request) bool {
+// needsAdmission reports whether the client waits for a 100 (Continue) response before it
+// sends the body and Admit has to decide about it.
+func (c *connection) needsAdmission(parsed *http.Request) bool {
 	return c.server.options.Admit != nil && expectsContinue(parsed) && parsed.ContentLength > 0
 }
 
-// readAdmitted reads the body once it was admitted. A refused one is not sent, so that
-// the connection goes on.
+// readAdmitted reads the body after Admit has accepted it. A refused body is not sent, so
+// the connection can be used for further requests.
 func (c *connection) readAdmitted(parsed *http.Request, read *exchange, limits Limits) (*exchange, *message.Answer) {
-	admission, here := c.awaitAdmission(read.request, parsed.ContentLength)
+	admission, connected := c.awaitAdmission(read.request, parsed.ContentLength)
 	done := admission.Done
 	if done == nil {
 		done = func(bool) {}
 	}
-	if !here {
+	if !connected {
 		done(false)
 		return nil, nil
 	}
 	if admission.Refusal != nil {
-		read.settled = true
-		// A sender that did not wait has sent what would pass for another request.
-		read.closes = read.closes || c.reader.Buffered() > 0
+		read.refused = true
+		// A client that did not wait has already sent data that could be taken for another
+		// request.
+		read.closeAfter = read.closeAfter || c.reader.Buffered() > 0
 		read.answer <- admission.Refusal
 		return read, nil
 	}
-	if err := c.grant(admission.Interim); err != nil {
+	if err := c.continueInOrder(admission.Interim); err != nil {
 		done(false)
 		return nil, nil
 	}
@@ -46,19 +47,20 @@
 	return read, nil
 }
 
-// grant asks for the body, once the answers to former requests are written: a sender
-// may have read the last one before this side knows that it was written.
-func (c *connection) grant(interim http.Header) error {
+// continueInOrder sends a 100 (Continue) response after the responses to earlier requests. It
+// waits for them, as a client may have read the last one before its write returned here.
+func (c *connection) continueInOrder(interim http.Header) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for c.pending > 0 {
-		c.answers.Wait()
+		c.pendingFell.Wait()
 	}
 	return c.writeInterim(interim)
 }
 
-// awaitAdmission waits for the decision; here is false when the sender left meanwhile.
-func (c *connection) awaitAdmission(request *message.Request, bytes int64) (admission Admission, here bool) {
+// awaitAdmission waits for the decision of Admit; connected is false when the client left
+// meanwhile.
+func (c *connection) awaitAdmission(request *message.Request, bytes int64) (admission Admission, connected bool) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
 	_ = c.conn.SetReadDeadline(time.Time{})
@@ -66,19 +68,19 @@
 	go func() {
 		defer close(watched)
 		if _, err := c.reader.Peek(1); err != nil {
-			cancel() // the sender left, or the wait is over
+			cancel() // the client left, or the wait is over
 		}
 	}()
 	admission = c.server.options.Admit(ctx, request, bytes)
-	here = ctx.Err() == nil
+	connected = ctx.Err() == nil
 	_ = c.conn.SetReadDeadline(past)
 	<-watched
 	_ = c.conn.SetReadDeadline(time.Now().Add(bodyTimeout))
-	return admission, here
+	return admission, connected
 }
 
-// past is a deadline that is over.
+// past is a deadline that has already expired.
 var past = time.Unix(1, 0)
 
-// Interim returns the fields of an interim answer with one field.
+// Interim returns a header with one field, for an interim response.
 func Interim(name, value string) http.Header { return http.Header{name: {value}} }
--- a/internal/dataplane/server/admit_test.go
+++ b/internal/dataplane/server/admit_test.go
@@ -20,9 +20,9 @@
 
 const paceHeader = "X-Pace"
 
-// admitting is a server that asks admit about large bodies and answers with the
-// length of what it got.
-func admitting(t *testing.T, admit func(ctx context.Context, request *message.Request, bytes int64) server.Admission) *client.Pool {
+// newAdmittingServer starts a server that calls admit for bodies and answers with the length
+// of the body, and returns a pool of connections to it.
+func newAdmittingServer(t *testing.T, admit func(ctx context.Context, request *message.Request, bytes int64) server.Admission) *client.Pool {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -59,11 +59,11 @@
 	}
 }
 
-// TestAdmittedBody: a granted body comes whole, and its grant ends.
+// TestAdmittedBody: an admitted body is received completely, and its admission is released.
 func TestAdmittedBody(t *testing.T) {
 	c := qt.New(t)
 	ended := make(chan bool, 1)
-	pool := admitting(t, func(_ context.Context, _ *message.Request, bytes int64) server.Admission {
+	pool := newAdmittingServer(t, func(_ context.Context, _ *message.Request, bytes int64) server.Admission {
 		c.Check(bytes, qt.Equals, int64(100_000))
 		return server.Admission{Interim: server.Interim(paceHeader, "100000000"), Done: func(whole bool) { ended <- whole }}
 	})
@@ -80,11 +80,11 @@
 	c.Check(pool.Open(), qt.Equals, 1)
 }
 
-// TestRefusedBodyIsNotSent: a refusal costs no body, and the connection goes on.
+// TestRefusedBodyIsNotSent: a refused body is not sent, and the connection is reused.
 func TestRefusedBodyIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	refuses := true
-	pool := admitting(t, func(context.Context, *message.Request, int64) server.Admission {
+	pool := newAdmittingServer(t, func(context.Context, *message.Request, int64) server.Admission {
 		if refuses {
 			return server.Admission{Refusal: message.Whole(http.StatusServiceUnavailable, nil, nil)}
 		}
@@ -100,11 +100,11 @@
 	c.Check(pool.Open(), qt.Equals, 1)
 }
 
-// TestSenderLeavesWhileItAsks: the wait ends at once, and nothing has run.
-func TestSenderLeavesWhileItAsks(t *testing.T) {
+// TestClientLeavesDuringAdmission: the wait ends immediately, and the request does not run.
+func TestClientLeavesDuringAdmission(t *testing.T) {
 	c := qt.New(t)
 	asked, left := make(chan struct{}), make(chan struct{})
-	pool := admitting(t, func(ctx context.Context, _ *message.Request, _ int64) server.Admission {
+	pool := newAdmittingServer(t, func(ctx context.Context, _ *message.Request, _ int64) server.Admission {
 		close(asked)
 		<-ctx.Done()
 		close(left)
@@ -124,13 +124,14 @@
 	c.Check(failure.Progress, qt.Equals, client.SentPart)
 }
 
-// TestBrokenBodyHasNotRun: a sender that breaks off inside a body leaves no grant.
-func TestBrokenBodyHasNotRun(t *testing.T) {
+// TestIncompleteBodyReleasesAdmission: the admission is released when the client leaves within
+// the body.
+func TestIncompleteBodyReleasesAdmission(t *testing.T) {
 	c := qt.New(t)
 	admitted, ended := make(chan struct{}), make(chan bool, 1)
-	pool := admitting(t, func(context.Context, *message.Request, int64) server.Admission {
+	pool := newAdmittingServer(t, func(context.Context, *message.Request, int64) server.Admission {
 		close(admitted)
-		// So slow that the body is never whole.
+		// So slow that the body never becomes complete.
 		return server.Admission{Interim: server.Interim(paceHeader, "1"), Done: func(whole bool) { ended <- whole }}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -147,12 +148,12 @@
 	c.Check(<-ended, qt.IsFalse)
 }
 
-// TestBodySentWithoutWaiting: what a sender sends that does not wait for the word is not
-// taken for another request.
+// TestBodySentWithoutWaiting: when a client does not wait for 100 (Continue), the body of its
+// refused request is not taken for another request.
 func TestBodySentWithoutWaiting(t *testing.T) {
 	c := qt.New(t)
 	asked := make(chan struct{}, 8)
-	pool := admitting(t, func(context.Context, *message.Request, int64) server.Admission {
+	pool := newAdmittingServer(t, func(context.Context, *message.Request, int64) server.Admission {
 		asked <- struct{}{}
 		return server.Admission{Refusal: message.Whole(http.StatusServiceUnavailable, nil, nil)}
 	})
--- a/internal/dataplane/server/connection.go
+++ b/internal/dataplane/server/connection.go
@@ -13,25 +13,25 @@
 
 const (
 	readBufferBytes = 4 << 10
-	// writeTimeout is how long a sender may refuse to take its answer.
+	// writeTimeout is how long a client may take to accept a response.
 	writeTimeout = 20 * time.Second
 )
 
-// exchange is one request on a connection and the place of its answer.
+// exchange is one request on a connection and the channel for its response.
 type exchange struct {
 	request *message.Request
-	// closes says that the sender wants the connection closed after the answer.
-	closes bool
-	head   bool
-	answer chan *message.Answer
-	// settled says that the answer is there already: the request does not run.
-	settled bool
-	// reportsProgress says that the sender asked to hear that the request goes on.
+	// closeAfter is set when the connection is to be closed after the response.
+	closeAfter bool
+	isHead     bool
+	answer     chan *message.Answer
+	// refused is set when the response is already in answer and the request does not run.
+	refused bool
+	// reportsProgress is set when the client asked for progress reports.
 	reportsProgress bool
 }
 
-// connection is one connection of a sender. One goroutine reads requests, one
-// writes answers, and one runs for each request in progress.
+// connection is one connection of a client. One goroutine reads requests, one
+// writes responses, and one runs for each request in progress.
 type connection struct {
 	server *Server
 	conn   net.Conn
@@ -42,11 +42,11 @@
 	cancel context.CancelFunc
 	queue  chan *exchange
 
-	mutex   sync.Mutex
-	answers *sync.Cond // with the mutex: pending fell
-	pending int        // requests read and not answered
-	reading bool       // a request is being read
-	closing bool       // no further request is taken
+	mutex       sync.Mutex
+	pendingFell *sync.Cond // uses mutex; signalled when pending decreases
+	pending     int        // requests read and not yet answered
+	reading     bool       // a request is being read
+	closing     bool       // no further request is accepted
 }
 
 func newConnection(server *Server, conn net.Conn) *connection {
@@ -61,28 +61,28 @@
 		cancel: cancel,
 		queue:  make(chan *exchange, maxPipelined),
 	}
-	created.answers = sync.NewCond(&created.mutex)
+	created.pendingFell = sync.NewCond(&created.mutex)
 	return created
 }
 
-// run serves the connection to its end.
+// run serves the connection until it ends.
 func (c *connection) run() {
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
 		c.writeAnswers()
 	}()
-	sender := c.readRequests()
+	end := c.readRequests()
 	close(c.queue)
-	if sender == senderLeft {
-		c.cut()
+	if end == clientLeft {
+		c.closeNow()
 	}
 	<-written
-	c.cut()
+	c.closeNow()
 }
 
-// cut ends the connection and the requests in progress on it.
-func (c *connection) cut() {
+// closeNow closes the connection and cancels the requests in progress on it.
+func (c *connection) closeNow() {
 	c.cancel()
 	_ = c.conn.Close()
 }
@@ -98,15 +98,16 @@
 	}
 }
 
-// isOpen reports whether a request may still be answered on the connection; it is
-// not when only the sender's close is awaited.
+// isOpen reports whether a request may still be answered on the connection. It is false
+// when the connection only waits for the client to close it.
 func (c *connection) isOpen() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.closing || c.pending > 0
 }
 
-// beginReading notes that the first byte of a request has come.
+// beginReading records that a request has begun to arrive. It returns false when the
+// connection is closing.
 func (c *connection) beginReading() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -117,7 +118,7 @@
 	return true
 }
 
-// accept counts a request that was read. It is false when the connection closes
+// accept counts a request that was read. It returns false when the connection is closing
 // and the request therefore counts as not read.
 func (c *connection) accept() bool {
 	c.mutex.Lock()
@@ -132,36 +133,36 @@
 	return true
 }
 
-// settle decides, before an answer is written, whether the connection closes with
-// it. Requests that were taken behind it would count as not read, so that it
-// stays open for them.
-func (c *connection) settle(current *exchange, abort bool) (closes bool) {
+// decideClose decides, before a response is written, whether the connection closes with
+// it. The connection stays open for requests that were accepted after this one, as the
+// client would otherwise consider them not processed.
+func (c *connection) decideClose(current *exchange, abort bool) (closes bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	wanted := current.closes || c.server.draining.Load()
+	wanted := current.closeAfter || c.server.draining.Load()
 	if abort || wanted && c.pending == 1 && !c.reading {
 		c.closing = true
 	}
 	return c.closing && c.pending == 1
 }
 
-// answered counts an answer that was written, and starts the rest of the
-// connection when it was the last.
-func (c *connection) answered() {
+// finishExchange counts a response that was written. After the last one it starts the idle
+// timeout of the connection.
+func (c *connection) finishExchange() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.pending--
-	c.answers.Broadcast()
+	c.pendingFell.Broadcast()
 	c.server.active.Add(-1)
 	if c.pending == 0 && !c.reading && !c.closing {
 		_ = c.conn.SetReadDeadline(time.Now().Add(c.server.options.Limits().IdleTimeout))
 	}
 }
 
-// dispatch runs a request that was read.
+// dispatch queues a request for its response and runs it in a new goroutine.
 func (c *connection) dispatch(taken *exchange) {
 	c.queue <- taken
-	if taken.settled {
+	if taken.refused {
 		return
 	}
 	go func() {
@@ -171,5 +172,5 @@
 	}()
 }
 
-// peerClosed asks the kernel whether the sender has closed.
+// peerClosed asks the kernel whether the client has closed the connection.
 func (c *connection) peerClosed() bool { return forward.PeerClosed(c.conn) }
--- a/internal/dataplane/server/progress.go
+++ b/internal/dataplane/server/progress.go
@@ -7,16 +7,16 @@
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 )
 
-// defaultProgressInterval is how often a sender hears that its request goes on: twice within
-// the second after which it may take a connection for silent.
+// defaultProgressInterval is the interval of progress reports: two of them fit in the second
+// after which a client may consider a connection dead.
 const defaultProgressInterval = 400 * time.Millisecond
 
-// progressReport is the interim answer of a request that goes on (RFC 2518, 10.1).
+// progressReport is the interim response for a request in progress (RFC 2518, section 10.1).
 const progressReport = "HTTP/1.1 102 Processing\r\n\r\n"
 
-// awaitAnswer waits for the answer to a request and tells the sender meanwhile, if it asked
-// for that, that the request goes on. Without it a sender can't tell a connection that fell
-// silent from long work.
+// awaitAnswer waits for the response to a request and meanwhile sends progress reports, if the
+// client asked for them. Without them a client can't tell a dead connection from a request
+// that takes long.
 func (c *connection) awaitAnswer(next *exchange) *message.Answer {
 	if !next.reportsProgress {
 		return <-next.answer
@@ -33,7 +33,7 @@
 	}
 }
 
-// reportProgress writes a report. A failure shows again when the answer is written.
+// reportProgress writes a progress report. It ignores errors: writing the response fails too.
 func (c *connection) reportProgress() {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, _ = io.WriteString(c.conn, progressReport)
--- a/internal/dataplane/server/progress_test.go
+++ b/internal/dataplane/server/progress_test.go
@@ -15,22 +15,22 @@
 	"github.com/winchhead/winchhead/internal/dataplane/server"
 )
 
-// answering answers each request once it is released.
-type answering struct{ release chan struct{} }
+// blockingHandler answers each request after release is closed.
+type blockingHandler struct{ release chan struct{} }
 
-func (h answering) Serve(context.Context, *message.Request) *message.Answer {
+func (h blockingHandler) Serve(context.Context, *message.Request) *message.Answer {
 	<-h.release
 	return message.Whole(http.StatusOK, nil, []byte("done"))
 }
 
-// TestProgressIsReported: a sender that asks for it hears that its request goes on, until the
-// answer comes; another one hears the answer alone.
+// TestProgressIsReported: a client that asks for progress reports gets them until the response
+// comes; any other client gets the response only.
 func TestProgressIsReported(t *testing.T) {
 	const field = "X-Progress"
 	for name, asks := range map[string]bool{"asked for": true, "not asked for": false} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			handler := answering{make(chan struct{})}
+			handler := blockingHandler{make(chan struct{})}
 			s := server.New(server.Options{
 				Handler: handler, Limits: func() server.Limits {
 					return server.Limits{MaxHeaderBytes: 4096, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
--- a/internal/dataplane/server/read.go
+++ b/internal/dataplane/server/read.go
@@ -12,67 +12,67 @@
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 )
 
-// bodyTimeout is how long a sender may stay silent inside a body.
+// bodyTimeout is how long a client may send nothing within a body.
 const bodyTimeout = 20 * time.Second
 
-// readSlack is what may be read beyond a header's limit, as reads are buffered.
+// readSlack is how much may be read beyond a limit, as reads are buffered.
 const readSlack = 2 * readBufferBytes
 
-// ending tells why no further request is read.
-type ending uint8
+// readEnd is the reason why no further request is read.
+type readEnd uint8
 
 const (
-	// senderLeft: the sender closed or broke the connection.
-	senderLeft ending = 1
-	// lastRead: the last request of the connection was read.
-	lastRead ending = 2
+	// clientLeft: the client closed or reset the connection, or it was idle for too long.
+	clientLeft readEnd = 1
+	// lastRequestRead: the connection accepts no further requests.
+	lastRequestRead readEnd = 2
 )
 
 // readRequests reads and runs requests until the connection ends.
-func (c *connection) readRequests() ending {
+func (c *connection) readRequests() readEnd {
 	_ = c.conn.SetReadDeadline(time.Now().Add(c.server.options.Limits().IdleTimeout))
 	for {
 		c.bound.set(readSlack)
 		if _, err := c.reader.Peek(1); err != nil {
-			return senderLeft // or it rested for too long
+			return clientLeft // or the idle timeout expired
 		}
 		if !c.beginReading() {
-			return lastRead
+			return lastRequestRead
 		}
 		taken, refusal := c.readRequest()
 		if refusal != nil {
 			if !c.refuse(refusal) {
-				return lastRead
+				return lastRequestRead
 			}
-			return c.watchForEnd() // requests before it may still run
+			return c.awaitClose() // earlier requests may still run
 		}
 		if taken == nil {
-			return senderLeft
+			return clientLeft
 		}
 		if !c.accept() {
-			return lastRead
+			return lastRequestRead
 		}
 		c.dispatch(taken)
-		if taken.closes {
-			return c.watchForEnd()
+		if taken.closeAfter {
+			return c.awaitClose()
 		}
 	}
 }
 
-// watchForEnd waits, after the last request, until the sender leaves or the
-// answer was written, which closes the connection.
-func (c *connection) watchForEnd() ending {
+// awaitClose waits, after the last request, until the client leaves or the connection is
+// closed after the response.
+func (c *connection) awaitClose() readEnd {
 	var one [1]byte
 	for {
 		c.bound.set(readSlack)
 		if _, err := c.reader.Read(one[:]); err != nil {
-			return senderLeft
+			return clientLeft
 		}
 	}
 }
 
-// readRequest reads one request to its end. A refusal is the answer to one that
-// cannot be taken; without both the sender left.
+// readRequest reads one request to its end. If the request cannot be accepted, it returns the
+// response that refuses it instead. If both results are nil, the client left.
 func (c *connection) readRequest() (*exchange, *message.Answer) {
 	limits := c.server.options.Limits()
 	_ = c.conn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
@@ -84,11 +84,11 @@
 	if size := headerBytes(parsed); limits.MaxHeaderBytes > 0 && size > limits.MaxHeaderBytes {
 		return nil, c.server.options.Refuse(http.StatusRequestHeaderFieldsTooLarge, "the header is too large")
 	}
-	if refusal := c.checkForm(parsed, limits); refusal != nil {
+	if refusal := c.validate(parsed, limits); refusal != nil {
 		return nil, refusal
 	}
 	read := c.newExchange(parsed)
-	if c.asksFirst(parsed) {
+	if c.needsAdmission(parsed) {
 		return c.readAdmitted(parsed, read, limits)
 	}
 	if err := c.sendContinue(parsed); err != nil {
@@ -107,13 +107,13 @@
 	case errors.Is(err, errTooLong):
 		return c.server.options.Refuse(http.StatusRequestHeaderFieldsTooLarge, "the header is too large")
 	case isNetworkError(err), c.peerClosed():
-		return nil // a header that its sender broke off looks malformed
+		return nil // a header that was cut off by the client's close looks malformed
 	default:
 		return c.server.options.Refuse(http.StatusBadRequest, "the request is malformed")
 	}
 }
 
-func (c *connection) checkForm(parsed *http.Request, limits Limits) *message.Answer {
+func (c *connection) validate(parsed *http.Request, limits Limits) *message.Answer {
 	refuse := c.server.options.Refuse
 	switch id := c.server.options.RequestID; {
 	case parsed.Method == http.MethodConnect || parsed.Method == http.MethodTrace:
@@ -129,8 +129,8 @@
 	}
 }
 
-// readBody reads the whole body, so that it can be sent again. ok is false when
-// the sender left.
+// readBody reads the whole body, so that the request can be sent again after a failure. ok is
+// false when the client left.
 func (c *connection) readBody(parsed *http.Request, limits Limits) (body []byte, refusal *message.Answer, ok bool) {
 	if parsed.Body == nil || parsed.Body == http.NoBody {
 		return nil, nil, true
@@ -139,16 +139,16 @@
 	if reserved < 0 {
 		reserved = 0
 	}
-	if !c.server.bodies.take(reserved) {
+	if !c.server.bodies.reserve(reserved) {
 		return nil, c.server.options.Refuse(http.StatusServiceUnavailable, "too many bodies are held"), true
 	}
-	defer c.server.bodies.give(reserved)
-	c.bound.set(limits.MaxBodyBytes + limits.MaxBodyBytes/8 + readSlack) // room for the framing of chunks
+	defer c.server.bodies.release(reserved)
+	c.bound.set(limits.MaxBodyBytes + limits.MaxBodyBytes/8 + readSlack) // an eighth for the chunk framing
 	var buffer bytes.Buffer
 	if parsed.ContentLength > 0 {
 		buffer.Grow(int(parsed.ContentLength))
 	}
-	source := &patientReader{connection: c, inner: io.LimitReader(parsed.Body, limits.MaxBodyBytes+1)}
+	source := &deadlineReader{connection: c, inner: io.LimitReader(parsed.Body, limits.MaxBodyBytes+1)}
 	_, err := buffer.ReadFrom(source)
 	switch {
 	case err != nil && !isNetworkError(err) && !errors.Is(err, io.ErrUnexpectedEOF):
@@ -161,8 +161,8 @@
 	return buffer.Bytes(), nil, true
 }
 
-// sendContinue tells a sender that waits for it to go on with the body. Answers
-// to requests before go first.
+// sendContinue sends a 100 (Continue) response if the client waits for one and all earlier
+// requests are answered.
 func (c *connection) sendContinue(parsed *http.Request) error {
 	if !expectsContinue(parsed) {
 		return nil
@@ -170,7 +170,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.pending > 0 {
-		return nil // the sender goes on by itself after a while
+		return nil // the client sends the body without it after a while
 	}
 	return c.writeInterim(nil)
 }
@@ -179,20 +179,22 @@
 	return strings.EqualFold(parsed.Header.Get("Expect"), "100-continue")
 }
 
-// writeInterim asks for the body. The mutex is held, and no answer is being written.
+// writeInterim writes a 100 (Continue) response. The caller holds the mutex, and no response
+// is being written.
 func (c *connection) writeInterim(header http.Header) error {
 	var interim bytes.Buffer
 	interim.WriteString("HTTP/1.1 100 Continue\r\n")
-	_ = header.Write(&interim) // a buffer takes everything
+	_ = header.Write(&interim) // writing to a buffer does not fail
 	interim.WriteString("\r\n")
 	_, err := c.conn.Write(interim.Bytes())
 	return err
 }
 
-// newExchange is the request whose header was read, with the end-to-end fields.
+// newExchange returns the exchange for a request whose header was read, with its end-to-end
+// fields only.
 func (c *connection) newExchange(parsed *http.Request) *exchange {
-	closes := parsed.Close || !parsed.ProtoAtLeast(1, 1)
-	header := maps.Clone(parsed.Header) // the body's reader still needs the other fields
+	closeAfter := parsed.Close || !parsed.ProtoAtLeast(1, 1)
+	header := maps.Clone(parsed.Header) // reading the body still needs the removed fields
 	message.StripHopByHop(header)
 	progressHeader := c.server.options.ProgressHeader
 	reportsProgress := progressHeader != "" && len(header[progressHeader]) > 0
@@ -210,24 +212,24 @@
 		request.ID = parsed.Header[id][0]
 	}
 	return &exchange{
-		request: request, closes: closes, head: parsed.Method == http.MethodHead, reportsProgress: reportsProgress,
+		request: request, closeAfter: closeAfter, isHead: parsed.Method == http.MethodHead, reportsProgress: reportsProgress,
 		answer: make(chan *message.Answer, 1),
 	}
 }
 
-// refuse answers a request that cannot be taken and closes. It is false when the connection
-// closes already.
+// refuse queues the response to a request that cannot be accepted; the connection closes after
+// it. It returns false when the connection is already closing.
 func (c *connection) refuse(answer *message.Answer) bool {
 	if !c.accept() {
 		return false
 	}
-	refused := &exchange{closes: true, answer: make(chan *message.Answer, 1)}
+	refused := &exchange{closeAfter: true, answer: make(chan *message.Answer, 1)}
 	refused.answer <- answer
 	c.queue <- refused
 	return true
 }
 
-// headerBytes is the size of the request line and the fields as sent.
+// headerBytes returns the size of the request line and the header fields as sent.
 func headerBytes(parsed *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(parsed.Method) + len(parsed.RequestURI) + len(parsed.Proto) + len(parsed.Host)
@@ -239,10 +241,10 @@
 	return size
 }
 
-// errTooLong ends a read beyond its bound.
-var errTooLong = errors.New("more was sent than is allowed")
+// errTooLong is returned by a read beyond the limit.
+var errTooLong = errors.New("the client sent more than is allowed")
 
-// boundedReader bounds how much may be read until the bound is set again.
+// boundedReader limits how much may be read until the limit is set again.
 type boundedReader struct {
 	inner io.Reader
 	left  int64
@@ -250,7 +252,7 @@
 
 func (r *boundedReader) set(bytes int64) { r.left = bytes }
 
-// Read fails with errTooLong at the bound.
+// Read fails with errTooLong at the limit.
 func (r *boundedReader) Read(data []byte) (int, error) {
 	if r.left <= 0 {
 		return 0, errTooLong
@@ -263,14 +265,14 @@
 	return count, err
 }
 
-// patientReader bounds the silence between two reads of a body.
-type patientReader struct {
+// deadlineReader limits the time between two reads of a body.
+type deadlineReader struct {
 	connection *connection
 	inner      io.Reader
 }
 
-// Read moves the limit on with each piece.
-func (r *patientReader) Read(data []byte) (int, error) {
+// Read extends the read deadline before each read.
+func (r *deadlineReader) Read(data []byte) (int, error) {
 	_ = r.connection.conn.SetReadDeadline(time.Now().Add(bodyTimeout))
 	return r.inner.Read(data)
 }
--- a/internal/dataplane/server/server.go
+++ b/internal/dataplane/server/server.go
@@ -1,5 +1,5 @@
-// Package server takes HTTP/1.1 connections whose requests may be sent one behind
-// the other: each is run as soon as it is read, and the answers go back in order.
+// Package server accepts HTTP/1.1 connections with pipelined requests: each request is run as
+// soon as it is read, and the responses are sent in the order of the requests.
 package server
 
 import (
@@ -16,51 +16,52 @@
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 )
 
-// Handler answers requests. The context ends when the sender has left.
+// Handler answers requests. The context ends when the client has left.
 type Handler interface {
 	Serve(ctx context.Context, request *message.Request) *message.Answer
 }
 
-// Limits bound what a sender may send.
+// Limits restrict what a client may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
 	HeaderTimeout  time.Duration
-	// IdleTimeout closes connections that rest.
+	// IdleTimeout is how long a connection may be idle before it is closed.
 	IdleTimeout time.Duration
 }
 
-// Options set up a Server.
+// Options configures a Server.
 type Options struct {
 	Handler Handler
-	// Limits are asked for at each request.
+	// Limits is called for each request.
 	Limits func() Limits
-	// RequestID is the name of the header field with the id of a request; requests
-	// without one are malformed. Empty: none is asked for.
+	// RequestID is the name of the header field with the ID of a request; requests without it
+	// are refused. Empty: no ID is required.
 	RequestID string
-	// Admit decides whether the body of a request is taken whose sender asks first. It
-	// may wait; the context ends when the sender has left. nil: each one is taken.
+	// Admit decides whether to accept the body of a request with "Expect: 100-continue". It
+	// may block; the context ends when the client has left. nil: every body is accepted.
 	Admit func(ctx context.Context, request *message.Request, bytes int64) Admission
-	// Refuse makes the answer to a request that cannot be taken, with that status.
+	// Refuse returns the response to a request that cannot be accepted, with that status.
 	Refuse func(status int, reason string) *message.Answer
-	// ProgressHeader is the field with which a sender asks to hear that its request goes on;
-	// empty: nobody can.
+	// ProgressHeader is the field by which a client asks for progress reports; empty: there
+	// are none.
 	ProgressHeader string
-	// ProgressInterval is how often it hears so; zero: as often as senders expect.
+	// ProgressInterval is the interval of progress reports; zero: the default, which suits
+	// the client package.
 	ProgressInterval time.Duration
 }
 
-// Admission is the decision about a body that has not been sent.
+// Admission is the decision about a body that has not been sent yet.
 type Admission struct {
-	// Refusal is the answer to a request whose body is not taken.
+	// Refusal is the response to a request whose body is not accepted, nil if it is.
 	Refusal *message.Answer
-	// Interim are the fields of the interim answer that asks for the body.
+	// Interim holds the fields of the 100 (Continue) response.
 	Interim http.Header
-	// Done is called when the body was read, or will not be, unless it is nil.
+	// Done, unless nil, is called when the body was read completely or will not be.
 	Done func(whole bool)
 }
 
-// maxPipelined bounds the requests of one connection that wait for their answers.
+// maxPipelined limits the unanswered requests on one connection.
 const maxPipelined = 64
 
 // Server serves listeners until it is closed. It is safe for concurrent use.
@@ -77,7 +78,7 @@
 	running     sync.WaitGroup
 }
 
-// New returns a Server.
+// New returns a Server that has no listeners yet.
 func New(options Options) *Server {
 	if options.ProgressInterval == 0 {
 		options.ProgressInterval = defaultProgressInterval
@@ -85,7 +86,7 @@
 	return &Server{options: options, connections: make(map[*connection]struct{}), bodies: bodyMemory{limit: maxBodyMemory}}
 }
 
-// Serve takes connections until the listener or the server is closed.
+// Serve accepts connections until the listener or the server is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mutex.Lock()
 	s.listeners = append(s.listeners, listener)
@@ -104,14 +105,14 @@
 			return nil
 		}
 		if !isTemporary(err) {
-			return eris.Wrap(err, "take connections")
+			return eris.Wrap(err, "accept connections")
 		}
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// acceptPause is the wait after an accept that failed for want of descriptors.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept, as when file descriptors run out.
+const acceptRetryDelay = 20 * time.Millisecond
 
 func isTemporary(err error) bool {
 	operation, ok := err.(*net.OpError)
@@ -136,14 +137,14 @@
 	})
 }
 
-// Drain asks senders to close: from now on each answer says that its connection
-// closes, unless further requests of the connection wait.
+// Drain makes clients close their connections: from now on, the last pending response on a
+// connection carries "Connection: close".
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Active counts the requests that were read and have not been answered.
+// Active returns the number of requests that were read and not yet answered.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
-// Connections counts those on which a request may still be answered.
+// Connections returns the number of connections on which a request may still be answered.
 func (s *Server) Connections() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -156,7 +157,7 @@
 	return open
 }
 
-// CloseIdle closes the connections on which no request waits.
+// CloseIdle closes the connections on which no request is pending.
 func (s *Server) CloseIdle() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// StopListening closes the listeners; connections go on.
+// StopListening closes the listeners; existing connections stay open.
 func (s *Server) StopListening() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -174,7 +175,7 @@
 	}
 }
 
-// Close cuts everything and waits until it has ended.
+// Close closes all listeners and connections and waits until every connection has ended.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -182,7 +183,7 @@
 		_ = listener.Close()
 	}
 	for conn := range s.connections {
-		conn.cut()
+		conn.closeNow()
 	}
 	s.mutex.Unlock()
 	s.running.Wait()
@@ -194,22 +195,22 @@
 	return s.closed
 }
 
-// maxBodyMemory bounds the bodies of requests that the server holds together.
+// maxBodyMemory limits the total size of the request bodies that are being read.
 const maxBodyMemory = 96 << 20
 
-// bodyMemory counts the bytes of the bodies held.
+// bodyMemory limits the memory reserved for request bodies.
 type bodyMemory struct {
 	limit int64
-	held  atomic.Int64
+	used  atomic.Int64
 }
 
-// take reserves room for a body and reports whether there is.
-func (m *bodyMemory) take(bytes int64) bool {
-	if m.held.Add(bytes) > m.limit {
-		m.held.Add(-bytes)
+// reserve reserves memory for a body; it returns false when the limit would be exceeded.
+func (m *bodyMemory) reserve(bytes int64) bool {
+	if m.used.Add(bytes) > m.limit {
+		m.used.Add(-bytes)
 		return false
 	}
 	return true
 }
 
-func (m *bodyMemory) give(bytes int64) { m.held.Add(-bytes) }
+func (m *bodyMemory) release(bytes int64) { m.used.Add(-bytes) }
--- a/internal/dataplane/server/server_test.go
+++ b/internal/dataplane/server/server_test.go
@@ -20,10 +20,10 @@
 
 const idHeader = "Test-Id"
 
-// handler runs requests by a function.
+// handler implements server.Handler with a function.
 type handler func(ctx context.Context, request *message.Request) *message.Answer
 
-// Serve implements server.Handler.
+// Serve calls the function.
 func (h handler) Serve(ctx context.Context, request *message.Request) *message.Answer {
 	return h(ctx, request)
 }
@@ -32,14 +32,14 @@
 	return message.Whole(http.StatusOK, nil, append([]byte(request.ID+":"), request.Body...))
 }
 
-// rig is a server and one connection to it.
-type rig struct {
+// testServer is a running server and one connection to it.
+type testServer struct {
 	server *server.Server
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func newRig(t *testing.T, serve handler) *rig {
+func newTestServer(t *testing.T, serve handler) *testServer {
 	created := server.New(server.Options{
 		Handler: serve, RequestID: idHeader,
 		Limits: func() server.Limits {
@@ -58,19 +58,19 @@
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = conn.Close() })
-	return &rig{server: created, conn: conn, reader: bufio.NewReader(conn)}
+	return &testServer{server: created, conn: conn, reader: bufio.NewReader(conn)}
 }
 
 func get(id string) string {
 	return fmt.Sprintf("GET /p HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", idHeader, id)
 }
 
-func (r *rig) send(c *qt.C, text string) {
+func (r *testServer) send(c *qt.C, text string) {
 	_, err := io.WriteString(r.conn, text)
 	c.Assert(err, qt.IsNil)
 }
 
-func (r *rig) read(c *qt.C) (*http.Response, string) {
+func (r *testServer) read(c *qt.C) (*http.Response, string) {
 	c.Helper()
 	response, err := http.ReadResponse(r.reader, nil)
 	c.Assert(err, qt.IsNil)
@@ -79,12 +79,12 @@
 	return response, string(body)
 }
 
-// TestPipelinedRequestsRunAtOnce: the last of three runs before the first is
-// done, and the answers come in order.
-func TestPipelinedRequestsRunAtOnce(t *testing.T) {
+// TestPipelinedRequestsRunConcurrently: the last of three requests runs before the first is
+// done, and the responses come in order.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	c := qt.New(t)
 	third := make(chan struct{})
-	r := newRig(t, func(ctx context.Context, request *message.Request) *message.Answer {
+	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Answer {
 		switch request.ID {
 		case "1":
 			<-third
@@ -100,11 +100,11 @@
 	}
 }
 
-// TestLeavingSenderCancels: the close of a connection reaches what runs on it.
-func TestLeavingSenderCancels(t *testing.T) {
+// TestClientDisconnectCancels: the close of a connection cancels the requests that run on it.
+func TestClientDisconnectCancels(t *testing.T) {
 	c := qt.New(t)
 	began, cancelled := make(chan struct{}), make(chan struct{})
-	r := newRig(t, func(ctx context.Context, _ *message.Request) *message.Answer {
+	r := newTestServer(t, func(ctx context.Context, _ *message.Request) *message.Answer {
 		close(began)
 		<-ctx.Done()
 		close(cancelled)
@@ -125,19 +125,19 @@
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newRig(t, echo)
+			r := newTestServer(t, echo)
 			r.send(c, row.request+get("2"))
 			_, body := r.read(c)
 			c.Check(body, qt.Equals, row.want)
 			_, body = r.read(c)
-			c.Check(body, qt.Equals, "2:") // the body's end was the request's end
+			c.Check(body, qt.Equals, "2:") // the next request starts right after the body
 		})
 	}
 }
 
 func TestExpectContinue(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(t, echo)
+	r := newTestServer(t, echo)
 	r.send(c, fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\n%s: 1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n", idHeader))
 	line, err := r.reader.ReadString('\n')
 	c.Assert(err, qt.IsNil)
@@ -165,7 +165,7 @@
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newRig(t, func(context.Context, *message.Request) *message.Answer {
+			r := newTestServer(t, func(context.Context, *message.Request) *message.Answer {
 				t.Error("a refused request ran")
 				return message.Whole(http.StatusOK, nil, nil)
 			})
@@ -177,13 +177,13 @@
 	}
 }
 
-// TestDrainClosesBehindTheLastAnswer: an answer that says close takes no request
-// behind it away.
-func TestDrainClosesBehindTheLastAnswer(t *testing.T) {
+// TestDrainClosesAfterLastResponse: only the last response closes the connection, so that no
+// pipelined request is lost.
+func TestDrainClosesAfterLastResponse(t *testing.T) {
 	c := qt.New(t)
 	second := make(chan struct{})
 	draining := make(chan struct{})
-	r := newRig(t, func(ctx context.Context, request *message.Request) *message.Answer {
+	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Answer {
 		if request.ID == "2" {
 			close(second)
 		}
@@ -203,26 +203,27 @@
 	c.Check(err, qt.Equals, io.EOF)
 }
 
-// broken is a stream that fails after some bytes.
-type broken struct{ sent bool }
+// brokenStream is a response body that fails after some bytes.
+type brokenStream struct{ sent bool }
 
-func (b *broken) Read(data []byte) (int, error) {
+func (b *brokenStream) Read(data []byte) (int, error) {
 	if b.sent {
-		return 0, errors.New("the instance broke off")
+		return 0, errors.New("the instance closed the connection")
 	}
 	b.sent = true
 	return copy(data, "some"), nil
 }
 
-func (b *broken) Close() error { return nil }
+func (b *brokenStream) Close() error { return nil }
 
-// TestBrokenStreamDoesNotLookComplete for both framings.
-func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
+// TestBrokenStreamIsIncomplete: the client sees that a response is incomplete, with a length
+// and with chunks.
+func TestBrokenStreamIsIncomplete(t *testing.T) {
 	for name, length := range map[string]int64{"with a length": 100, "in chunks": -1} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newRig(t, func(context.Context, *message.Request) *message.Answer {
-				return &message.Answer{Status: http.StatusOK, Header: make(http.Header), Stream: &broken{}, Length: length}
+			r := newTestServer(t, func(context.Context, *message.Request) *message.Answer {
+				return &message.Answer{Status: http.StatusOK, Header: make(http.Header), Stream: &brokenStream{}, Length: length}
 			})
 			r.send(c, get("1"))
 			response, err := http.ReadResponse(r.reader, nil)
@@ -233,19 +234,20 @@
 	}
 }
 
-// TestCloseIdleSparesBusyConnections.
-func TestCloseIdleSparesBusyConnections(t *testing.T) {
+// TestCloseIdleKeepsBusyConnections: CloseIdle does not close a connection with a request in
+// progress.
+func TestCloseIdleKeepsBusyConnections(t *testing.T) {
 	c := qt.New(t)
-	began, goOn := make(chan struct{}), make(chan struct{})
-	r := newRig(t, func(ctx context.Context, request *message.Request) *message.Answer {
+	began, proceed := make(chan struct{}), make(chan struct{})
+	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Answer {
 		close(began)
-		<-goOn
+		<-proceed
 		return echo(ctx, request)
 	})
 	r.send(c, get("1"))
 	<-began
 	r.server.CloseIdle()
-	close(goOn)
+	close(proceed)
 	_, body := r.read(c)
 	c.Check(body, qt.Equals, "1:")
 }
--- a/internal/dataplane/server/write.go
+++ b/internal/dataplane/server/write.go
@@ -12,8 +12,8 @@
 
 const writeBufferBytes = 4 << 10
 
-// writeAnswers writes the answers in the order of the requests, until the last
-// one or until one cannot be written whole.
+// writeAnswers writes the responses in the order of the requests, until the last one or
+// until one cannot be written completely.
 func (c *connection) writeAnswers() {
 	writer := bufio.NewWriterSize(c.conn, writeBufferBytes)
 	broken := false
@@ -23,49 +23,49 @@
 			broken = !c.writeAnswer(writer, next, answer)
 		}
 		answer.Finish()
-		c.answered()
+		c.finishExchange()
 	}
 }
 
-// writeAnswer reports whether further answers may follow on the connection.
+// writeAnswer writes a response and reports whether further ones may follow on the connection.
 func (c *connection) writeAnswer(writer *bufio.Writer, next *exchange, answer *message.Answer) bool {
-	closes := c.settle(next, answer.Abort)
+	closes := c.decideClose(next, answer.Abort)
 	if answer.Abort {
-		c.cut()
+		c.closeNow()
 		return false
 	}
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err := writeMessage(writer, next, answer, closes); err != nil {
-		c.cut()
+		c.closeNow()
 		return false
 	}
 	if closes {
-		c.closeGently()
+		c.closeGracefully()
 		return false
 	}
 	return true
 }
 
-// lingerTime is how long a closed sending direction waits for the sender's close,
-// so that no reset takes the last answer away.
+// lingerTime is how long the connection waits for the client's close after its write side is
+// closed, as a reset could destroy the last response before the client reads it.
 const lingerTime = time.Second
 
-// closeGently ends the sending direction; the reader ends the rest.
-func (c *connection) closeGently() {
+// closeGracefully closes the write side; the reading goroutine then closes the connection.
+func (c *connection) closeGracefully() {
 	type halfCloser interface{ CloseWrite() error }
 	half, ok := c.conn.(halfCloser)
 	if !ok || half.CloseWrite() != nil {
-		c.cut()
+		c.closeNow()
 		return
 	}
 	_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime))
 }
 
-// writeMessage writes one answer whole, or returns an error.
+// writeMessage writes one response completely, or returns an error.
 func writeMessage(writer *bufio.Writer, next *exchange, answer *message.Answer, closes bool) error {
 	writeStatusLine(writer, answer.Status)
 	header := answer.Header
-	bodyless := next.head || answer.Status == http.StatusNoContent || answer.Status == http.StatusNotModified
+	bodyless := next.isHead || answer.Status == http.StatusNoContent || answer.Status == http.StatusNotModified
 	chunked := answer.Stream != nil && answer.Length < 0 && !bodyless
 	switch {
 	case chunked:
@@ -110,7 +110,7 @@
 		if _, err := writer.Write(answer.Body); err != nil {
 			return err
 		}
-		if err := writer.Flush(); err != nil { // a stream begins at once
+		if err := writer.Flush(); err != nil { // the start of a stream is sent immediately
 			return err
 		}
 		copied, err := io.Copy(writer, answer.Stream)
@@ -122,7 +122,7 @@
 	return writeChunks(writer, answer)
 }
 
-// writeChunks passes each piece on as it comes.
+// writeChunks writes each part of the stream as one chunk as soon as it arrives.
 func writeChunks(writer *bufio.Writer, answer *message.Answer) error {
 	if err := writeChunk(writer, answer.Body); err != nil {
 		return err
