--- a/internal/dataplane/hop/hop.go
+++ b/internal/dataplane/hop/hop.go
@@ -1,5 +1,6 @@
-// Package hop is what two nodes tell each other about a request, in one header
-// field each way. Callers and instances never see the field.
+// Package hop encodes what two sidecars tell each other about a request: an Order with the
+// request and a Report with the response, each in one header field. Callers and instances
+// never see the field.
 package hop
 
 import (
@@ -10,58 +11,58 @@
 	"github.com/rotisserie/eris"
 )
 
-// Header is the name of the field, in requests and in answers.
+// Header is the name of the field, in requests and in responses.
 const Header = "Winchhead-Hop"
 
 const separator = ";"
 
-// Order tells the node beside an instance what to do with a request.
+// Order tells the sidecar of an instance what to do with a request.
 type Order struct {
-	// Instance is the name of the instance that is meant.
+	// Instance is the name of the instance that the request is for.
 	Instance string
-	// CallerService is the service beside which the request started.
+	// CallerService is the service whose sidecar sent the request.
 	CallerService string
 	Priority      int
-	// Value is what the answer is still worth to its caller; 0 is the most.
+	// Value ranks what the response is still worth to its caller; 0 is the most.
 	Value int
-	// Remaining is the time left for the request when it was sent.
+	// Remaining is the time to the request's deadline when it was sent.
 	Remaining time.Duration
-	// Due is how long the request may wait and still be worth most; requests of one
-	// priority go in that order.
+	// Due is how long the request may wait and still be worth the most; requests of one
+	// priority are ordered by it.
 	Due time.Duration
 	// MaxWait is how long the request may wait for a slot.
 	MaxWait time.Duration
 	// Expected is how long the instance is expected to work on the request.
 	Expected time.Duration
-	// Ordinary is how long an instance of ordinary speed takes, by what the sender saw.
+	// Ordinary is how long an instance of average speed takes, as observed by the sender.
 	Ordinary time.Duration
-	// Revision is that of the configuration by which the sender chose.
+	// Revision is the revision of the configuration by which the sender chose the instance.
 	Revision uint64
-	// Repeatable says that the request may run more than once.
+	// Repeatable is set when the request may run more than once.
 	Repeatable bool
-	// OnlyCandidate says that no other instance is left that could be asked instead.
+	// OnlyCandidate is set when the request cannot be sent to any other instance.
 	OnlyCandidate bool
-	// Repeat is the probability, in hundredths, that this send counts as a repeat: Certain
-	// when an instance got the request before, otherwise that of its being a call of a
-	// run that was a repeat itself.
+	// Repeat is the probability, in percent, that this send counts as a repeat. It is Certain
+	// when an instance already received the request; otherwise it is the probability that the
+	// request was sent by the run of a repeated request.
 	Repeat int
-	// Failed says that an instance answered before that the request failed.
+	// Failed is set when an instance already answered that the request failed.
 	Failed bool
-	// Suspected says that the request may have crashed an instance before.
+	// Suspected is set when the request may have crashed an instance before.
 	Suspected bool
 }
 
-// Certain is a Repeat without doubt.
+// Certain is the value of Repeat for a send that is a repeat for sure.
 const Certain = 100
 
-// orderFields are those of an order. One more follows where the request is suspected, so that
-// nodes of earlier versions read all other orders.
+// orderFields is the number of fields of an order. A suspected request has one more; all other
+// orders omit it, so that sidecars of earlier versions can read them.
 const orderFields = 14
 
-// Marks stand for yes and no in the text of a field.
+// The encoded boolean values.
 const (
-	markNo  = "0"
-	markYes = "1"
+	textFalse = "0"
+	textTrue  = "1"
 )
 
 // Encode returns the text of the field.
@@ -69,10 +70,10 @@
 	text := strings.Join([]string{
 		o.Instance, o.CallerService, strconv.Itoa(o.Priority), strconv.Itoa(o.Value),
 		millis(o.Remaining), millis(o.Due), millis(o.MaxWait), millis(o.Expected), millis(o.Ordinary), strconv.FormatUint(o.Revision, 10),
-		mark(o.Repeatable), mark(o.OnlyCandidate), strconv.Itoa(o.Repeat), mark(o.Failed),
+		encodeBool(o.Repeatable), encodeBool(o.OnlyCandidate), strconv.Itoa(o.Repeat), encodeBool(o.Failed),
 	}, separator)
 	if o.Suspected {
-		text += separator + mark(true)
+		text += separator + encodeBool(true)
 	}
 	return text
 }
@@ -87,34 +88,34 @@
 	order := Order{
 		Instance: fields[0], CallerService: fields[1], Priority: int(reader.number()), Value: int(reader.number()),
 		Remaining: reader.duration(), Due: reader.duration(), MaxWait: reader.duration(), Expected: reader.duration(),
-		Ordinary: reader.duration(), Revision: uint64(reader.number()), Repeatable: reader.mark(), OnlyCandidate: reader.mark(),
-		Repeat: reader.hundredths(), Failed: reader.mark(),
+		Ordinary: reader.duration(), Revision: uint64(reader.number()), Repeatable: reader.boolean(), OnlyCandidate: reader.boolean(),
+		Repeat: reader.percent(), Failed: reader.boolean(),
 	}
 	if len(fields) > orderFields {
-		order.Suspected = reader.mark()
+		order.Suspected = reader.boolean()
 	}
 	return order, reader.err
 }
 
-func mark(set bool) string {
+func encodeBool(set bool) string {
 	if set {
-		return markYes
+		return textTrue
 	}
-	return markNo
+	return textFalse
 }
 
-// Outcome tells what became of a request at the node beside an instance.
+// Outcome is what became of a request at the sidecar of an instance.
 type Outcome string
 
 // The outcomes.
 const (
-	// Answered: the answer is the instance's.
+	// Answered: the response comes from the instance.
 	Answered Outcome = "a"
-	// Refused: the request did not reach the instance and never will.
+	// Refused: the request was not sent to the instance and will not be.
 	Refused Outcome = "r"
-	// Rejected: the instance said that it did not run the request.
+	// Rejected: the instance responded that it did not run the request.
 	Rejected Outcome = "j"
-	// Unknown: the request was sent and there is no valid answer to it.
+	// Unknown: the request was sent to the instance, but there is no valid response.
 	Unknown Outcome = "u"
 )
 
@@ -139,44 +140,44 @@
 	ReasonCrashed   Reason = "instance-crashed"
 	ReasonInvalid   Reason = "invalid-answer"
 	ReasonMalformed Reason = "malformed"
-	// ReasonCrashesInstances: requests of this content crash the instances that run them.
+	// ReasonCrashesInstances: requests with this content crash the instances that run them.
 	ReasonCrashesInstances Reason = "crashes-instances"
-	// ReasonProbe: another suspected request is tried at the instance.
+	// ReasonProbe: the instance is running another suspected request as a trial.
 	ReasonProbe Reason = "probe"
-	// ReasonRepeats: the calls of a repeated run would go beyond the bound of repeats.
+	// ReasonRepeats: the calls that a repeated run makes would exceed the limit on repeats.
 	ReasonRepeats Reason = "repeat-bound"
 )
 
-// Report is what the node beside an instance tells with an answer.
+// Report is what the sidecar of an instance reports with a response.
 type Report struct {
 	Outcome Outcome
 	Reason  Reason
 	// RetryAfter is when a slot is likely to be free; zero when not known.
 	RetryAfter time.Duration
-	// Running and Waiting count the instance's requests, Slots its slots.
+	// Running and Waiting are the numbers of the instance's requests, Slots that of its slots.
 	Running, Waiting, Slots int
 	// Execution is how long the instance worked on this request.
 	Execution time.Duration
-	// Backlog is how long the link beside the instance is taken by large bodies, and
-	// LinkRate the rate at which it takes them, in KiB a second.
+	// Backlog is how long large bodies will occupy the network link of the instance, and
+	// LinkRate the rate at which the link transfers them, in KiB per second.
 	Backlog  time.Duration
 	LinkRate int
-	// Speed is how many times as long as ordinary the instance takes, in hundredths; zero
-	// when not known.
+	// Speed is the instance's execution time in percent of that of an instance of average
+	// speed (see Order.Ordinary); zero when not known.
 	Speed int
 	// Waited is how long the request waited for a slot.
 	Waited time.Duration
-	// ColdFor is how much longer the instance is cold after its start; zero: it is warm.
+	// ColdFor is how much longer the instance counts as cold after its start; zero: it is warm.
 	ColdFor time.Duration
-	// Shared says that requests of this route start beside all services: callers send them,
-	// not instances.
+	// Shared is set when the sidecars of all services send requests of this route: external
+	// callers send them, not instances.
 	Shared bool
 }
 
 const reportFields = 13
 
-// HeaderPace is the name of the field in which a node that takes a body names the rate
-// at which it does, in bytes a second.
+// HeaderPace is the name of the field in which a sidecar that accepts a body names the rate at
+// which it does so, in bytes per second.
 const HeaderPace = "Winchhead-Pace"
 
 // Encode returns the text of the field.
@@ -185,7 +186,7 @@
 		string(r.Outcome), string(r.Reason), millis(r.RetryAfter),
 		strconv.Itoa(r.Running), strconv.Itoa(r.Waiting), strconv.Itoa(r.Slots), millis(r.Execution),
 		millis(r.Backlog), strconv.Itoa(r.LinkRate), strconv.Itoa(r.Speed), millis(r.Waited), millis(r.ColdFor),
-		mark(r.Shared),
+		encodeBool(r.Shared),
 	}, separator)
 }
 
@@ -201,17 +202,17 @@
 		Running: int(reader.number()), Waiting: int(reader.number()), Slots: int(reader.number()),
 		Execution: reader.duration(), Backlog: reader.duration(), LinkRate: int(reader.number()),
 		Speed: int(reader.number()), Waited: reader.duration(), ColdFor: reader.duration(),
-		Shared: reader.mark(),
+		Shared: reader.boolean(),
 	}
 	switch report.Outcome {
 	case Answered, Refused, Rejected, Unknown:
 		return report, reader.err
 	default:
-		return report, eris.Errorf("%s: outcome %q is not known", Header, report.Outcome)
+		return report, eris.Errorf("%s: unknown outcome %q", Header, report.Outcome)
 	}
 }
 
-// fieldReader reads numbers one after the other and keeps the first error.
+// fieldReader decodes fields one after the other and keeps the first error.
 type fieldReader struct {
 	fields []string
 	err    error
@@ -229,20 +230,20 @@
 	return value
 }
 
-func (r *fieldReader) mark() bool {
+func (r *fieldReader) boolean() bool {
 	text := r.fields[0]
 	r.fields = r.fields[1:]
-	if text != markYes && text != markNo && r.err == nil {
-		r.err = eris.Errorf("%s: %q is neither %s nor %s", Header, text, markNo, markYes)
+	if text != textTrue && text != textFalse && r.err == nil {
+		r.err = eris.Errorf("%s: %q is neither %s nor %s", Header, text, textFalse, textTrue)
 	}
-	return text == markYes
+	return text == textTrue
 }
 
-// hundredths reads a probability, from 0 to Certain.
-func (r *fieldReader) hundredths() int {
+// percent reads a probability in percent, from 0 to Certain.
+func (r *fieldReader) percent() int {
 	value := r.number()
 	if (value < 0 || value > Certain) && r.err == nil {
-		r.err = eris.Errorf("%s: %d is not a probability in hundredths", Header, value)
+		r.err = eris.Errorf("%s: %d is not a probability in percent", Header, value)
 	}
 	return int(value)
 }
@@ -253,6 +254,6 @@
 	return strconv.FormatInt(max(duration, 0).Milliseconds(), 10)
 }
 
-// HeaderProgress is the name of the field with which a sender asks a node to report that a
-// request goes on.
+// HeaderProgress is the name of the field by which a sender asks a sidecar for progress reports
+// on a request.
 const HeaderProgress = "Winchhead-Progress"
--- a/internal/dataplane/hop/hop_test.go
+++ b/internal/dataplane/hop/hop_test.go
@@ -9,7 +9,7 @@
 	"github.com/winchhead/winchhead/internal/dataplane/hop"
 )
 
-// TestOrderRoundTrip has another value in each field.
+// TestOrderRoundTrip uses a different value in each field, so that swapped fields show.
 func TestOrderRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	order := hop.Order{
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestReportRoundTrip has another value in each field.
+// TestReportRoundTrip uses a different value in each field, so that swapped fields show.
 func TestReportRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	report := hop.Report{
@@ -37,7 +37,7 @@
 	c.Assert(decoded, qt.Equals, report)
 }
 
-// TestMalformedFields: what a node cannot read is an error, not a default.
+// TestMalformedFields: a field that cannot be decoded is an error and gets no default value.
 func TestMalformedFields(t *testing.T) {
 	for _, text := range []string{"", "a;b", "i;c;x;1;1;1;1;1;1;1;1;1;1;1", "i;c;1;x;1;1;1;1;1;1;1;1;1;1", "i;c;1;1;1;1;1;1;1;1;2;1;1;1", "i;c;1;1;1;1;1;1;1;1;1;2;1;1",
 		"i;c;1;1;1;1;1;1;1;1;1;1;x;1", "i;c;1;1;1;1;1;1;1;1;1;1;101;1", "i;c;1;1;1;1;1;1;1;1;1;1;-1;1", "i;c;1;1;1;1;1;1;1;1;1;1;1;2", "i;c;1;1;1;1;1;1;1;1;1;1;1", "i;c;1;1;1;1;1;1;1;1;1;1;1;1;1;1", "i;c;1;1;1;1;1;1;1;1;1;1;1;1;2"} {
