--- a/internal/dataplane/boundedlog/boundedlog.go
+++ b/internal/dataplane/boundedlog/boundedlog.go
@@ -1,5 +1,5 @@
-// Package boundedlog bounds how many lines about requests a process writes, so
-// that a busy node neither fills its log nor waits for it.
+// Package boundedlog limits the rate of log lines about requests, so that a busy sidecar
+// neither fills its log nor waits for it.
 package boundedlog
 
 import (
@@ -9,14 +9,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// How many lines a second are written. What is left out is counted and told with
-// the next line.
+// The numbers of lines written per second. The lines omitted beyond that are counted, and the
+// next line reports their number.
 const (
 	FailureLines = 20
 	SuccessLines = 2
 )
 
-// Lines gives out lines. It is safe for concurrent use.
+// Lines limits log lines by rate, separately for failures and successes. It is safe for
+// concurrent use.
 type Lines struct {
 	logger logrus.FieldLogger
 	now    func() time.Time
@@ -28,21 +29,22 @@
 	omitted   int
 }
 
-// New returns Lines that are written by the logger.
+// New returns Lines for the logger.
 func New(logger logrus.FieldLogger) *Lines { return &Lines{logger: logger, now: time.Now} }
 
-// Take reserves a line. The entry tells how many were left out before it.
+// Take reserves a line and returns the logger for it, with the number of lines omitted before.
+// ok is false when the limit is reached.
 func (l *Lines) Take(failed bool) (entry logrus.FieldLogger, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if now := l.now(); now.Sub(l.second) >= time.Second {
 		l.second, l.failures, l.successes = now, 0, 0
 	}
-	used, most := &l.successes, SuccessLines
+	used, limit := &l.successes, SuccessLines
 	if failed {
-		used, most = &l.failures, FailureLines
+		used, limit = &l.failures, FailureLines
 	}
-	if *used >= most {
+	if *used >= limit {
 		l.omitted++
 		return nil, false
 	}
--- a/internal/dataplane/message/message.go
+++ b/internal/dataplane/message/message.go
@@ -1,5 +1,5 @@
-// Package message holds the requests and answers that the data plane passes on,
-// apart from the connections that carry them.
+// Package message defines the requests and responses that the data plane forwards,
+// independent of the connections that carry them.
 package message
 
 import (
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Names are the header names that callers and instances speak. An empty name
-// turns off what it is for.
+// Names holds the names of the header fields that callers and instances use. An empty name
+// disables the feature of its field.
 type Names struct {
-	// RequestID names one attempt of a caller; instances give it back.
+	// RequestID holds the ID of one attempt of a caller; instances repeat it in the response.
 	RequestID string
-	// Deadline is the time left in milliseconds.
+	// Deadline holds the time left for the request, in milliseconds.
 	Deadline string
-	// ExpectInstance names the instance that is meant.
+	// ExpectInstance holds the name of the instance that the request is for.
 	ExpectInstance string
-	// CallerService is the service beside which a request started.
+	// CallerService holds the service whose sidecar sent the request.
 	CallerService string
-	// NotExecuted is set on an instance's answer to a request that did not run.
+	// NotExecuted is set on an instance's response to a request that it did not run.
 	NotExecuted string
-	// Load is an instance's report of running, waiting and slots.
+	// Load holds an instance's numbers of running and waiting requests and of slots.
 	Load string
-	// Stamp is on each answer that an instance made.
+	// Stamp is set on every response that comes from an instance.
 	Stamp string
 }
 
-// Request is one request, read to its end.
+// Request is one request with its whole body.
 type Request struct {
 	ID     string
 	Method string
-	// Target is the request target as sent; Path is its part before the query.
+	// Target is the request target as sent; Path is its path without the query.
 	Target string
 	Path   string
 	Host   string
@@ -41,36 +41,36 @@
 	Body   []byte
 	// Arrived is when the header of the request was read.
 	Arrived time.Time
-	// Gone reports whether the sender has closed its connection; nil: unknown.
+	// Gone reports whether the client has closed its connection; nil: unknown.
 	Gone func() bool
 }
 
-// SenderGone reports whether the sender is known to have left.
+// SenderGone reports whether the client is known to have closed its connection.
 func (r *Request) SenderGone() bool { return r.Gone != nil && r.Gone() }
 
-// Answer is the answer to one request.
+// Answer is the response to one request.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body is the whole body, unless Stream is set.
+	// Body is the whole body, or its start when Stream is set.
 	Body []byte
-	// Stream is the rest of a body that is passed on as it comes, after Body. Its
-	// end without an error is the end of the body.
+	// Stream is the rest of the body after Body, forwarded as it arrives. Its end without an
+	// error is the end of the body.
 	Stream io.ReadCloser
-	// Length is the length of Body and Stream together, -1 when it is not known.
+	// Length is the total length of Body and Stream, -1 when it is not known.
 	Length int64
-	// Abort ends the connection without an answer.
+	// Abort closes the connection without a response.
 	Abort bool
 }
 
-// Finish releases what the answer holds.
+// Finish closes Stream, if there is one.
 func (a *Answer) Finish() {
 	if a != nil && a.Stream != nil {
 		_ = a.Stream.Close()
 	}
 }
 
-// Whole returns an answer with its whole body.
+// Whole returns a response with a complete body.
 func Whole(status int, header http.Header, body []byte) *Answer {
 	if header == nil {
 		header = make(http.Header)
@@ -78,14 +78,14 @@
 	return &Answer{Status: status, Header: header, Body: body, Length: int64(len(body))}
 }
 
-// hopByHop are the fields that concern one connection only.
+// hopByHop lists the fields that are not forwarded, as they concern one connection only.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// StripHopByHop removes the fields that concern one connection only, those that
-// the Connection field names among them.
+// StripHopByHop removes the fields that concern one connection only, including those that
+// the Connection field names.
 func StripHopByHop(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
