--- a/internal/proxy/inbound/admit.go
+++ b/internal/proxy/inbound/admit.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// defaultTimeout is the time of a request that names none on a route that
-	// this node does not hold.
+	// defaultTimeout applies to a request without a timeout on a route that this node
+	// does not hold.
 	defaultTimeout = 10 * time.Second
-	// shortBodyBytes is the size up to which a body is received before its request
-	// asks for a slot.
+	// shortBodyBytes is the largest body that is received before its request asks for
+	// a slot.
 	shortBodyBytes = 64 << 10
-	// longestTimeout bounds what a request may ask for.
-	longestTimeout = snapshot.MaxRouteTimeout
+	// maxTimeout bounds the timeout that a request may ask for.
+	maxTimeout = snapshot.MaxRouteTimeout
 )
 
-// target is the value of outcome.HeaderTarget for this process.
+// target returns the value of outcome.HeaderTarget for this process.
 func (p *Proxy) target() string {
 	return outcome.TargetOf(p.self.Node, p.incarnation())
 }
 
-// admit checks a request and waits for its slot. Whatever it refuses did not run.
-// On success the exchange must be ended with end.
+// admit checks a request and waits for its slot. A request that it refuses did not
+// run. On success the caller must end the exchange with end.
 func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, body *requestBody) (*exchange, *outcome.Problem) {
 	now := time.Now()
 	arrival := p.pauses.arrival(now)
@@ -79,8 +79,8 @@
 	return &problem
 }
 
-// checkTarget refuses requests that are meant for another process. Only nodes set
-// the header; a request without it does not come from one.
+// checkTarget refuses requests that are meant for another process. Every node sets the
+// header, so a request without it does not come from a node.
 func (p *Proxy) checkTarget(r *http.Request) *outcome.Problem {
 	targets := r.Header.Values(outcome.HeaderTarget)
 	target := p.target()
@@ -94,7 +94,7 @@
 	}
 }
 
-// timeoutOf returns the time the request had left when it was sent.
+// timeoutOf returns the time that the request had left when it was sent.
 func timeoutOf(r *http.Request, route *snapshot.Route) (time.Duration, *outcome.Problem) {
 	values := r.Header.Values(outcome.HeaderRemaining)
 	if len(values) == 0 {
@@ -107,62 +107,63 @@
 	if err != nil || len(values) > 1 {
 		return 0, refusal(outcome.ReasonBadRequest, outcome.HeaderRemaining+" is not a number of milliseconds")
 	}
-	if millis > longestTimeout.Milliseconds() {
-		return longestTimeout, nil
+	if millis > maxTimeout.Milliseconds() {
+		return maxTimeout, nil
 	}
 	return time.Duration(max(millis, 0)) * time.Millisecond, nil
 }
 
-// receiveShortBody reads a short body to its end. A slow sender then holds no slot,
-// and net/http notices from then on when the sender leaves, also in the queue; it
-// doesn't while a body is unread. A longer body is checked at its turn (maySend).
+// receiveShortBody reads a short body to its end, so that a slow sender holds no slot.
+// Afterwards net/http notices when the sender disconnects, also while the request is
+// queued; it does not notice while a body is unread. For a longer body, maySend checks
+// the connection when the request is about to be sent.
 func (e *exchange) receiveShortBody() *outcome.Problem {
 	length := e.request.ContentLength
-	if e.body == nil || e.first != nil { // a first's body was read for its fingerprint
+	if e.body == nil || e.firstRun != nil { // its body was read for the fingerprint
 		return nil
 	}
 	if length < 0 || length > shortBodyBytes || e.request.Header.Get("Expect") != "" {
 		return nil
 	}
-	_, _, problem := e.readAhead(length + 1) // one more, to meet the end
+	_, _, problem := e.readAhead(length + 1) // one more byte, to reach io.EOF
 	return problem
 }
 
-// readAhead reads the start of the body, at most limit bytes, and reports whether
-// that was all.
+// readAhead reads the start of the body, at most limit bytes, and reports whether that
+// was the whole body.
 func (e *exchange) readAhead(limit int64) (start []byte, whole bool, problem *outcome.Problem) {
 	start, whole, err := e.body.readAhead(limit)
 	switch {
 	case err == nil:
 		return start, whole, nil
-	case e.timeOver():
+	case e.deadlinePassed():
 		return nil, false, refusal(outcome.ReasonDeadline, "the time was over while the body came")
 	default:
 		return nil, false, refusal(outcome.ReasonBadRequest, "the body broke off")
 	}
 }
 
-// acquire waits for a slot.
+// acquire waits for an admission slot.
 func (e *exchange) acquire(routeName string) *outcome.Problem {
 	slot, refused := e.proxy.admission.Acquire(e.ctx, admission.Request{
 		Route:    routeName,
 		Limits:   routeLimits(e.route, e.request.Method),
 		Deadline: e.deadline,
-		Session:  e.upgrade != "" || asksForEvents(e.request.Header),
+		Session:  e.upgrade != "" || acceptsEventStream(e.request.Header),
 	})
 	if slot == nil {
 		e.proxy.metrics.shed(refused.Cause)
-		return e.refusalOf(refused)
+		return e.refusalFor(refused)
 	}
 	e.slot = slot
 	return nil
 }
 
-func asksForEvents(header http.Header) bool {
+func acceptsEventStream(header http.Header) bool {
 	return strings.HasPrefix(header.Get("Accept"), "text/event-stream")
 }
 
-func (e *exchange) refusalOf(refused admission.Refusal) *outcome.Problem {
+func (e *exchange) refusalFor(refused admission.Refusal) *outcome.Problem {
 	reason, detail := outcome.ReasonOverloaded, ""
 	switch refused.Cause {
 	case admission.CauseQueueFull, admission.CauseEvicted:
@@ -176,7 +177,7 @@
 	case admission.CauseExpired:
 		reason, detail = outcome.ReasonDeadline, "the time was over in the queue"
 	case admission.CauseCancelled:
-		if e.timeOver() {
+		if e.deadlinePassed() {
 			reason, detail = outcome.ReasonDeadline, "the time was over in the queue"
 		}
 	}
@@ -187,16 +188,16 @@
 	return &problem
 }
 
-// connKey is the context's key of the connection a request came on.
+// connKey is the context key of the connection that a request came on.
 type connKey struct{}
 
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// senderGone reports whether the node that sent the request has given it up: it
-// closes the connection when the request's time is over. The kernel knows that
-// even when this process was paused and net/http has not read so far.
+// senderGone reports whether the sending node has given the request up: it closes the
+// connection when the request's deadline passes. The kernel knows of the close even
+// when this process was paused and net/http has not read from the connection since.
 func senderGone(r *http.Request) bool {
 	conn, ok := r.Context().Value(connKey{}).(net.Conn)
 	return ok && forward.PeerClosed(conn)
--- a/internal/proxy/inbound/backend.go
+++ b/internal/proxy/inbound/backend.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// connectTimeout bounds one connection attempt to the back end.
+	// connectTimeout bounds one connection attempt to the backend.
 	connectTimeout = time.Second
-	// backendIdleTimeout ends unused connections. It is below the idle timeouts
-	// usual in back ends (5 s and more), so that this side closes them and no
-	// request meets a connection that is being closed.
+	// backendIdleTimeout closes unused connections. It is below the usual idle
+	// timeouts of backends (5 s and more), so that the proxy closes them first and no
+	// request is sent on a connection that the backend is closing.
 	backendIdleTimeout = 4 * time.Second
-	// closeTimeout is how long a connection given up waits for the back end to
-	// close its side. A back end that goes on for longer is taken as done.
+	// closeTimeout is how long a closed connection waits for the backend to close its
+	// side. After it, the backend is taken to have stopped its work.
 	closeTimeout = time.Second
 	// continueTimeout is how long a body waits for "100 Continue".
 	continueTimeout = time.Second
-	// maxAnswerHeaderBytes bounds the header of an answer.
-	maxAnswerHeaderBytes = 1 << 20
+	// maxResponseHeaderBytes bounds the header of a response.
+	maxResponseHeaderBytes = 1 << 20
 )
 
-// backendClient is the way to the back end: its connections, counted.
+// backendClient sends requests to the backend over a limited number of connections.
 type backendClient struct {
 	address   string
 	dialer    net.Dialer
 	transport *http.Transport
 	limit     *connectionLimit
-	// patience is closeTimeout, or less or more in tests.
-	patience time.Duration
+	// closeWait is closeTimeout, except in tests.
+	closeWait time.Duration
 }
 
 func newBackendClient(address string, connections int) *backendClient {
 	created := &backendClient{
-		address:  address,
-		dialer:   net.Dialer{Timeout: connectTimeout},
-		limit:    newConnectionLimit(connections),
-		patience: closeTimeout,
+		address:   address,
+		dialer:    net.Dialer{Timeout: connectTimeout},
+		limit:     newConnectionLimit(connections),
+		closeWait: closeTimeout,
 	}
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -53,53 +53,53 @@
 		DialContext:            created.dial,
 		Protocols:              protocols,
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    connections, // the limit bounds all connections
+		MaxIdleConnsPerHost:    connections, // limit bounds idle and used connections together
 		IdleConnTimeout:        backendIdleTimeout,
 		ExpectContinueTimeout:  continueTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeaderBytes,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 	}
 	return created
 }
 
-// dial opens a connection once fewer than the limit are open.
+// dial opens a connection as soon as fewer connections than the limit are open.
 func (b *backendClient) dial(ctx context.Context, network, _ string) (net.Conn, error) {
 	if err := b.limit.acquire(ctx); err != nil {
-		return nil, eris.Wrap(err, "wait for a free connection")
+		return nil, eris.Wrap(err, "wait for a free connection to the backend")
 	}
 	conn, err := b.dialer.DialContext(ctx, network, b.address)
 	if err != nil {
 		b.limit.release()
-		return nil, eris.Wrap(err, "connect to the back end")
+		return nil, eris.Wrap(err, "connect to the backend")
 	}
-	lingering := &lingeringConn{Conn: conn, limit: b.limit, patience: b.patience, closed: make(chan struct{})}
+	lingering := &lingeringConn{Conn: conn, limit: b.limit, closeWait: b.closeWait, closed: make(chan struct{})}
 	return forward.NewConn(lingering, true), nil
 }
 
 func (b *backendClient) setConnections(connections int) { b.limit.set(connections) }
 
-// close closes the idle connections and waits until none is open.
+// close closes the idle connections and waits until no connection is open.
 func (b *backendClient) close() {
 	b.transport.CloseIdleConnections()
-	b.limit.waitNone()
+	b.limit.waitAllClosed()
 }
 
-// closedOf returns the channel that is closed once both sides of a connection to
-// the back end are.
-func closedOf(conn *forward.Conn) <-chan struct{} { return conn.Conn.(*lingeringConn).closed }
+// closedChannel returns the channel that is closed once both sides of a backend
+// connection are closed.
+func closedChannel(conn *forward.Conn) <-chan struct{} { return conn.Conn.(*lingeringConn).closed }
 
-// lingeringConn is a connection whose Close ends the sending direction and then
-// waits, in the background, for the back end to end the other. Only then the back
-// end has noticed, has stopped its work and counts one connection less.
+// lingeringConn is a connection whose Close ends the sending direction and then waits,
+// in the background, for the backend to end the other. Only then has the backend
+// noticed the close, stopped its work and reduced its count of connections.
 type lingeringConn struct {
 	net.Conn
-	limit    *connectionLimit
-	patience time.Duration
-	closing  atomic.Bool
-	reading  sync.Mutex // held while reading
-	closed   chan struct{}
+	limit     *connectionLimit
+	closeWait time.Duration
+	closing   atomic.Bool
+	reading   sync.Mutex // held while reading
+	closed    chan struct{}
 }
 
-// Read reads until Close is called.
+// Read returns net.ErrClosed once Close is called.
 func (c *lingeringConn) Read(data []byte) (int, error) {
 	c.reading.Lock()
 	defer c.reading.Unlock()
@@ -116,16 +116,16 @@
 // CloseWrite ends the sending direction.
 func (c *lingeringConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
 
-// NetConn returns the connection below.
+// NetConn returns the wrapped connection.
 func (c *lingeringConn) NetConn() net.Conn { return c.Conn }
 
-// Close returns at once; closed tells when both sides are closed.
+// Close returns at once; the closed channel is closed when both sides are.
 func (c *lingeringConn) Close() error {
 	if !c.closing.CompareAndSwap(false, true) {
 		return nil
 	}
 	err := c.CloseWrite()
-	_ = c.Conn.SetReadDeadline(forward.LongAgo) // ends a read in progress
+	_ = c.Conn.SetReadDeadline(forward.LongAgo) // interrupts a read in progress
 	go c.linger()
 	return err
 }
@@ -133,19 +133,19 @@
 func (c *lingeringConn) linger() {
 	c.reading.Lock()
 	defer c.reading.Unlock()
-	_ = c.Conn.SetReadDeadline(time.Now().Add(c.patience))
-	_, _ = io.Copy(io.Discard, c.Conn) // until the back end closes, or the deadline
+	_ = c.Conn.SetReadDeadline(time.Now().Add(c.closeWait))
+	_, _ = io.Copy(io.Discard, c.Conn) // until the backend closes, or the deadline
 	_ = c.Conn.Close()
 	c.limit.release()
 	close(c.closed)
 }
 
-// connectionLimit bounds the open connections; the bound may change.
+// connectionLimit bounds the number of open connections; the bound may change.
 type connectionLimit struct {
 	mu      sync.Mutex
 	limit   int
 	open    int
-	changed chan struct{} // closed and replaced when room may have come
+	changed chan struct{} // closed and replaced when open falls or limit changes
 }
 
 func newConnectionLimit(limit int) *connectionLimit {
@@ -180,17 +180,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
-	l.announce()
+	l.notifyWaiters()
 }
 
 func (l *connectionLimit) set(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit = limit
-	l.announce()
+	l.notifyWaiters()
 }
 
-func (l *connectionLimit) announce() {
+func (l *connectionLimit) notifyWaiters() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -201,8 +201,8 @@
 	return l.open
 }
 
-// waitNone returns once no connection is open.
-func (l *connectionLimit) waitNone() {
+// waitAllClosed returns once no connection is open.
+func (l *connectionLimit) waitAllClosed() {
 	for {
 		l.mu.Lock()
 		open, changed := l.open, l.changed
--- a/internal/proxy/inbound/bench_test.go
+++ b/internal/proxy/inbound/bench_test.go
@@ -8,15 +8,15 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// BenchmarkRequest measures one booking through the proxy to an emulated back end
-// and back, sender and back end included.
+// BenchmarkRequest measures one request through the proxy to an emulated backend and
+// back, including the work of the sender and of the backend.
 func BenchmarkRequest(b *testing.B) {
 	emulated := backend.New(backend.Options{})
 	if err := emulated.Start("127.0.0.1:0"); err != nil {
 		b.Fatal(err)
 	}
 	defer emulated.Kill()
-	r := newRigBefore(b, emulated.Address(), plainSettings())
+	r := newRigForAddress(b, emulated.Address(), plainSettings())
 	b.ReportAllocs()
 	for b.Loop() {
 		response, err := r.client.Do(r.request(b.Context(), http.MethodPost, backend.PathEcho, "a booking"))
--- a/internal/proxy/inbound/body.go
+++ b/internal/proxy/inbound/body.go
@@ -12,41 +12,42 @@
 	"github.com/winchhead/winchhead/internal/proxy/forward"
 )
 
-// errBodyOver is the error of a read after the answer was given.
-var errBodyOver = eris.New("the rest of the body is not wanted")
+// errBodyStopped is returned by a read of the body after the response was sent.
+var errBodyStopped = eris.New("the rest of the request body is not read after the response")
 
-// requestBody is the body of a request as the back end reads it. A nil one is no
-// body.
+// requestBody is a request's body as the backend reads it. A nil *requestBody stands
+// for no body.
 type requestBody struct {
 	source io.ReadCloser
 	mu     sync.Mutex
-	// reading is set while a read waits for the sender.
-	reading bool
-	failed  error // error of source, io.EOF included
-	stopped bool
-	ahead   bytes.Reader
+	// reading is set while a read waits for data of the sender.
+	reading    bool
+	readErr    error // error of source, io.EOF included
+	stopped    bool
+	prefetched bytes.Reader
 }
 
-// takeBody returns the body of a request, or nil without one.
-func takeBody(w http.ResponseWriter, r *http.Request) *requestBody {
+// newRequestBody returns the body of a request, or nil if it has none.
+func newRequestBody(w http.ResponseWriter, r *http.Request) *requestBody {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
 	}
-	// Answers must not wait for the body. Writers that cannot do it, as in tests,
-	// answer after the body.
+	// Responses must not wait for the body. Writers without full duplex, as in tests,
+	// respond after the body.
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	return &requestBody{source: r.Body}
 }
 
-// beforeAnswer is called before the header of an answer is written: what is left
-// of the body must not be taken for the next request.
-func (b *requestBody) beforeAnswer(w http.ResponseWriter) {
+// closeIfUnread is called before a response header is written. It makes the connection
+// close after the response if part of the body is unread, as the rest must not be
+// taken for the next request.
+func (b *requestBody) closeIfUnread(w http.ResponseWriter) {
 	if b.unread() {
 		forward.CloseAfterAnswer(w)
 	}
 }
 
-// finish ends the reading of the body after the answer.
+// finish ends the reading of the body after the response.
 func (b *requestBody) finish(w http.ResponseWriter) {
 	if b.unread() {
 		b.stop()
@@ -54,80 +55,80 @@
 	}
 }
 
-// unread reports whether there may be more of the body.
+// unread reports whether part of the body may be unread.
 func (b *requestBody) unread() bool {
 	if b == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !errors.Is(b.failed, io.EOF)
+	return !errors.Is(b.readErr, io.EOF)
 }
 
-// stop refuses reads that have not begun.
+// stop makes reads that have not begun fail with errBodyStopped.
 func (b *requestBody) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stopped = true
 }
 
-// readAhead reads up to limit bytes, which the next reads return again, and
-// reports whether that was the whole body. It is called once at the most.
+// readAhead reads up to limit bytes, which Read returns again, and reports whether
+// that was the whole body. It is called at most once.
 func (b *requestBody) readAhead(limit int64) (start []byte, whole bool, err error) {
-	start, err = io.ReadAll(io.LimitReader(onlySource{b}, limit))
+	start, err = io.ReadAll(io.LimitReader(sourceReader{b}, limit))
 	if err != nil {
 		return nil, false, err
 	}
-	b.ahead.Reset(start)
+	b.prefetched.Reset(start)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return start, errors.Is(b.failed, io.EOF), nil
+	return start, errors.Is(b.readErr, io.EOF), nil
 }
 
-// onlySource reads past what was read ahead.
-type onlySource struct{ body *requestBody }
+// sourceReader reads from the source without the bytes that were read ahead.
+type sourceReader struct{ body *requestBody }
 
-// Read skips what was read ahead.
-func (s onlySource) Read(data []byte) (int, error) { return s.body.fill(data) }
+// Read reads from the source only.
+func (s sourceReader) Read(data []byte) (int, error) { return s.body.fill(data) }
 
-// Read returns what was read ahead first.
+// Read returns the bytes that were read ahead, then those of the source.
 func (b *requestBody) Read(data []byte) (int, error) {
-	if b.ahead.Len() > 0 {
-		return b.ahead.Read(data)
+	if b.prefetched.Len() > 0 {
+		return b.prefetched.Read(data)
 	}
 	return b.fill(data)
 }
 
 func (b *requestBody) fill(data []byte) (int, error) {
-	if err := b.begin(); err != nil {
+	if err := b.beginRead(); err != nil {
 		return 0, err
 	}
 	count, err := b.source.Read(data)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reading = false
-	b.failed = err
+	b.readErr = err
 	return count, err
 }
 
-func (b *requestBody) begin() error {
+func (b *requestBody) beginRead() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.failed != nil {
-		return b.failed
+	if b.readErr != nil {
+		return b.readErr
 	}
 	if b.stopped {
-		return errBodyOver
+		return errBodyStopped
 	}
 	b.reading = true
 	return nil
 }
 
-// Close is called by the transport. The source stays open: net/http reads what is
-// left of it after the answer.
+// Close is called by the transport and does nothing: net/http reads the rest of the
+// source after the response.
 func (b *requestBody) Close() error { return nil }
 
-// waiting reports whether a read waits for the sender.
+// waiting reports whether a read waits for data of the sender.
 func (b *requestBody) waiting() bool {
 	if b == nil {
 		return false
@@ -137,15 +138,16 @@
 	return b.reading
 }
 
-// failure returns the error that ended reading, if it was not the end of the body.
-func (b *requestBody) failure() error {
+// readError returns the error that ended reading, or nil if that was the end of the
+// body.
+func (b *requestBody) readError() error {
 	if b == nil {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if errors.Is(b.failed, io.EOF) {
+	if errors.Is(b.readErr, io.EOF) {
 		return nil
 	}
-	return b.failed
+	return b.readErr
 }
--- a/internal/proxy/inbound/drain.go
+++ b/internal/proxy/inbound/drain.go
@@ -9,17 +9,17 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// drainNotice is how long a planned stop still takes new work after it was
-// published: the fleet learns of it within that time, and a request that is on its
-// way meanwhile need not be refused and sent elsewhere. It is the time within
-// which a leaving instance must stop getting new work.
+// drainNotice is how long a draining instance still accepts requests after the drain
+// was published. The fleet learns of the drain within that time, so a request that is
+// already on its way need not be refused and sent elsewhere. It is also the time
+// within which a leaving instance must stop getting new requests.
 const drainNotice = 2 * time.Second
 
-// Drain is a planned stop. It publishes that the instance drains, takes new work
-// for drainNotice more, then refuses it as not run, and waits for the requests and
-// sessions in progress, at most for the settings' DrainGrace. The error says that
-// some were left; Close cuts them. It does not close the listener: until the server
-// is shut down, late requests get their refusal.
+// Drain prepares a planned stop. It publishes that the instance drains, accepts
+// requests for drainNotice, then refuses them as not run, and waits at most the
+// settings' DrainGrace for the requests and sessions in progress. It returns an error
+// if some are left; Close cuts them. It does not close the listener: until the server
+// is shut down, late requests get a refusal.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.stopping.Store(true)
 	p.readiness.stop()
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.settings.DrainGrace)
 	defer cancel()
 	if err := p.activity.WaitIdle(ctx); err != nil {
-		return eris.Wrapf(err, "inbound proxy: drain: %d requests and sessions left", p.activity.Active())
+		return eris.Wrapf(err, "inbound proxy: drain: %d requests and sessions still in progress", p.activity.Active())
 	}
 	return nil
 }
--- a/internal/proxy/inbound/drain_test.go
+++ b/internal/proxy/inbound/drain_test.go
@@ -21,8 +21,9 @@
 	return set
 }
 
-// TestStateFollowsTheBackEnd has a back end drain, die and come back.
-func TestStateFollowsTheBackEnd(t *testing.T) {
+// TestStateFollowsBackend checks the published state when the backend drains, fails
+// and comes back.
+func TestStateFollowsBackend(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		settings settings.Inbound
@@ -30,18 +31,18 @@
 		act      func(r *rig)
 		state    membership.State
 	}{
-		{"told ready", withReports(), backend.Behavior{}, func(*rig) {}, membership.StateReady},
-		{"takes connections, no reports", plainSettings(), backend.Behavior{}, func(*rig) {}, membership.StateReady},
-		{"drain by health", withReports(), backend.Behavior{},
+		{"ready report", withReports(), backend.Behavior{}, func(*rig) {}, membership.StateReady},
+		{"accepts connections, no health endpoint", plainSettings(), backend.Behavior{}, func(*rig) {}, membership.StateReady},
+		{"drain shown by health", withReports(), backend.Behavior{},
 			func(r *rig) { r.backend.Drain() }, membership.StateDraining},
-		{"drain by answer while health lies", withReports(), backend.Behavior{Health: backend.HealthReady},
+		{"drain announced on a response, health reports ready", withReports(), backend.Behavior{Health: backend.HealthReady},
 			func(r *rig) { r.backend.Drain(); r.send() }, membership.StateDraining},
-		{"drain by answer, no reports", plainSettings(), backend.Behavior{},
+		{"drain announced on a response, no health endpoint", plainSettings(), backend.Behavior{},
 			func(r *rig) { r.backend.Drain(); r.send() }, membership.StateDraining},
-		{"dies, no reports", plainSettings(), backend.Behavior{},
+		{"backend fails, no health endpoint", plainSettings(), backend.Behavior{},
 			func(r *rig) { r.backend.Kill() }, membership.StateStarting},
-		{"dies", withReports(), backend.Behavior{}, func(r *rig) { r.backend.Kill() }, membership.StateStarting},
-		{"dies and comes back", withReports(), backend.Behavior{}, func(r *rig) {
+		{"backend fails", withReports(), backend.Behavior{}, func(r *rig) { r.backend.Kill() }, membership.StateStarting},
+		{"backend fails and comes back", withReports(), backend.Behavior{}, func(r *rig) {
 			address := r.backend.Address()
 			r.backend.Kill()
 			r.awaitState(membership.StateStarting)
@@ -53,7 +54,7 @@
 			r.run()
 			r.awaitState(membership.StateReady)
 			if test.state == membership.StateReady {
-				r.states <- membership.StateReady // for those that change nothing
+				r.states <- membership.StateReady // the state does not change in these cases
 			}
 			test.act(r)
 			r.awaitState(test.state)
@@ -68,10 +69,10 @@
 	}
 }
 
-// TestLyingHealthDoesNotTakeTheInstanceOut has health say "failing" of a back end
-// that works: it stays ready, and senders are told to prefer others only while no
-// request was answered.
-func TestLyingHealthDoesNotTakeTheInstanceOut(t *testing.T) {
+// A health endpoint that reports "failing" for a backend that works must not take the
+// instance out of service. Senders are told to prefer other instances only until a
+// request is answered.
+func TestFailingHealthReportKeepsWorkingInstanceReady(t *testing.T) {
 	r := newRig(t, backend.Options{Slots: 20}, withReports())
 	r.run()
 	r.awaitState(membership.StateReady)
@@ -84,19 +85,19 @@
 	r.Check(r.states, qt.HasLen, 0)
 }
 
-// TestPlannedStopCutsNothing stops a node with a request and a session in progress.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// TestDrainCutsNothing drains a node with a request and a session in progress.
+func TestDrainCutsNothing(t *testing.T) {
 	r := newRig(t, backend.Options{}, plainSettings())
 	session := r.upgrade()
 	r.checkEcho(session, "before")
-	held := make(chan answer, 1)
+	held := make(chan clientResponse, 1)
 	request := r.request(t.Context(), http.MethodPost, backend.PathEcho, "a booking", backend.HeaderWork, "3000")
 	go func() { held <- r.do(request) }()
 	r.eventually(func() bool { return r.backend.Statistics().InFlightNow == 1 })
 	drained := make(chan error, 1)
 	go func() { drained <- r.proxy.Drain(t.Context()) }()
 	r.awaitState(membership.StateDraining)
-	taken := r.send() // the fleet has not had time to learn
+	taken := r.send() // accepted: the fleet may not know of the drain yet
 	r.Check(taken.StatusCode, qt.Equals, 200)
 	r.Check(taken.Header.Get(outcome.HeaderState), qt.Equals, "draining")
 	r.Check(taken.Close, qt.IsTrue)
@@ -111,12 +112,12 @@
 	r.Check(<-drained, qt.IsNil)
 }
 
-func TestDrainTellsWhatIsLeft(t *testing.T) {
+func TestDrainReportsRemainingWork(t *testing.T) {
 	set := plainSettings()
 	set.DrainGrace = time.Nanosecond
 	r := newRig(t, backend.Options{}, set)
 	r.checkEcho(r.upgrade(), "open")
-	r.Check(r.proxy.Drain(t.Context()), qt.ErrorMatches, ".*1 requests and sessions left.*")
+	r.Check(r.proxy.Drain(t.Context()), qt.ErrorMatches, ".*1 requests and sessions still in progress.*")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	r.Check(r.proxy.Drain(ctx), qt.ErrorMatches, "inbound proxy: drain: context canceled")
--- a/internal/proxy/inbound/exchange.go
+++ b/internal/proxy/inbound/exchange.go
@@ -14,29 +14,29 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// exchange is one request to the back end. One goroutine owns it. It stays on the
-// route it began with.
+// exchange is one request to the backend. It is owned by one goroutine, and keeps the
+// route it began with when the configuration changes.
 type exchange struct {
-	proxy    *Proxy
-	writer   http.ResponseWriter
-	request  *http.Request
-	route    *snapshot.Route // nil when this node does not hold the route
-	upgrade  string          // protocol to switch to, or ""
-	body     *requestBody    // nil without a body
-	deadline time.Time
-	informer *forward.Informer
-	send     *forward.Send
-	slot     *admission.Slot // nil until one is held
-	keyed                    // what the Idempotency-Key brings
+	proxy            *Proxy
+	writer           http.ResponseWriter
+	request          *http.Request
+	route            *snapshot.Route // nil if this node does not hold the route
+	upgrade          string          // protocol to switch to, or ""
+	body             *requestBody    // nil without a body
+	deadline         time.Time
+	informer         *forward.Informer
+	send             *forward.Send
+	slot             *admission.Slot // nil until one is held
+	idempotencyState                 // state of a request with an Idempotency-Key
 
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	unlink func() bool // lets the exchange go on without its sender
+	ctx              context.Context
+	cancel           context.CancelCauseFunc
+	timer            *time.Timer
+	detachFromSender func() bool // lets the exchange continue when the sender disconnects
 
-	mu        sync.Mutex // guards the two below against the timer
-	answering bool       // the answer's header was passed on
-	ended     bool
+	mu         sync.Mutex // guards responding and ended against the timer
+	responding bool       // the response header was passed on
+	ended      bool
 }
 
 func (p *Proxy) newExchange(w http.ResponseWriter, r *http.Request, body *requestBody,
@@ -48,17 +48,18 @@
 		informer: forward.NewInformer(w, r),
 		ctx:      ctx, cancel: cancel,
 	}
-	created.unlink = context.AfterFunc(r.Context(), func() { cancel(context.Canceled) })
+	created.detachFromSender = context.AfterFunc(r.Context(), func() { cancel(context.Canceled) })
 	created.send = forward.NewSend(deadline, created.maySend)
 	created.timer = time.AfterFunc(time.Until(deadline), created.expire)
 	return created
 }
 
-// maySend is asked immediately before the first byte goes to the back end.
+// maySend is called immediately before the first byte is sent to the backend.
 func (e *exchange) maySend() bool { return e.detached || !senderGone(e.request) }
 
-// expire ends the exchange because its time is over. A sender that does not read
-// the answer, or does not go on with the body, is no longer waited for.
+// expire ends the exchange because its deadline has passed. It interrupts a write to a
+// sender that does not read the response, and a read from one that does not send the
+// body.
 func (e *exchange) expire() {
 	e.cancel(forward.ErrDeadline)
 	e.mu.Lock()
@@ -66,7 +67,7 @@
 	if e.ended {
 		return
 	}
-	if e.answering {
+	if e.responding {
 		_ = http.NewResponseController(e.writer).SetWriteDeadline(forward.LongAgo)
 	}
 	if e.body.waiting() {
@@ -74,32 +75,33 @@
 	}
 }
 
-func (e *exchange) timeOver() bool {
+func (e *exchange) deadlinePassed() bool {
 	return forward.TimeOver(e.ctx, e.deadline)
 }
 
 // end releases what the exchange holds.
 func (e *exchange) end() {
 	e.timer.Stop()
-	e.unlink()
+	e.detachFromSender()
 	e.cancel(context.Canceled)
-	e.settleKey()
-	e.settleSlot()
+	e.endFirstRun()
+	e.releaseUnfinishedSlot()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ended = true
 }
 
-// releaseSlot gives the slot back at the end of the answer: the back end is done.
+// releaseSlot gives the slot back when the response has ended: the backend has
+// finished its work.
 func (e *exchange) releaseSlot() {
 	e.slot.Release()
 	e.slot = nil
 }
 
-// settleSlot gives the slot back that is still held: at once when nothing was
-// sent, else when both sides have closed the connection, as the back end may work
-// on until it notices.
-func (e *exchange) settleSlot() {
+// releaseUnfinishedSlot gives back a slot that is still held: at once if nothing was
+// sent, otherwise when both sides have closed the connection, as the backend may
+// continue to work until it notices the close.
+func (e *exchange) releaseUnfinishedSlot() {
 	if e.slot == nil {
 		return
 	}
@@ -109,21 +111,21 @@
 		e.releaseSlot()
 		return
 	}
-	_ = used.Close() // the transport has given the connection up
+	_ = used.Close() // the transport no longer uses the connection
 	slot := e.slot
 	e.slot = nil
 	e.proxy.activity.Begin()
 	go func() {
 		defer e.proxy.activity.End()
-		<-closedOf(used)
+		<-closedChannel(used)
 		slot.Release()
 	}()
 }
 
-// run sends the request and passes the answer on, or gives a remembered answer.
-func (e *exchange) run() ending {
+// run sends the request and passes the response on, or writes a remembered response.
+func (e *exchange) run() exchangeEnd {
 	if e.replay != nil {
-		return e.giveReplay()
+		return e.writeReplay()
 	}
 	response, err := e.proxy.backend.transport.RoundTrip(e.outgoing())
 	e.informer.Stop()
@@ -131,14 +133,14 @@
 		return e.fail(err)
 	}
 	shed := isShed(response)
-	e.proxy.observeAnswer(response.Header)
+	e.proxy.observeResponseHeader(response.Header)
 	if shed {
-		return e.failShed(response)
+		return e.handleShed(response)
 	}
 	return e.deliver(response)
 }
 
-// outgoing is the request as the back end gets it.
+// outgoing returns the request as it is sent to the backend.
 func (e *exchange) outgoing() *http.Request {
 	header := forward.RequestHeader(e.request.Header)
 	remaining := []string{""}
@@ -155,7 +157,8 @@
 		request.Trailer = e.request.Trailer
 	}
 	trace := &httptrace.ClientTrace{
-		// The header is written after this call: the time left is then exact.
+		// The transport writes the header after this call, so that the remaining time
+		// is accurate.
 		GotConn: func(info httptrace.GotConnInfo) {
 			remaining[0] = outcome.Remaining(e.deadline)
 			info.Conn.(*forward.Conn).Assign(e.send)
@@ -165,8 +168,8 @@
 	return request.WithContext(httptrace.WithClientTrace(e.ctx, trace))
 }
 
-// fail tells why there is no answer, and whether the request may have run.
-func (e *exchange) fail(err error) ending {
+// fail returns why there is no response, and whether the request may have run.
+func (e *exchange) fail(err error) exchangeEnd {
 	result := outcome.NotRun
 	if e.send.Seal() {
 		result = outcome.Unknown
@@ -174,9 +177,9 @@
 	callerGone := e.request.Context().Err() != nil || senderGone(e.request)
 	problem := outcome.New(outcome.ReasonBroken, result, "")
 	switch {
-	case e.timeOver():
+	case e.deadlinePassed():
 		problem = outcome.New(outcome.ReasonDeadline, result, "")
-	case e.body.failure() != nil:
+	case e.body.readError() != nil:
 		problem = outcome.New(outcome.ReasonBadRequest, result, "the body broke off")
 	case callerGone:
 		return endedCallerGone
@@ -184,5 +187,5 @@
 		e.proxy.observeConnectFailure(err)
 		problem = outcome.New(outcome.ReasonConnect, result, "")
 	}
-	return failure(problem)
+	return endedWithProblem(problem)
 }
--- a/internal/proxy/inbound/fault_test.go
+++ b/internal/proxy/inbound/fault_test.go
@@ -17,9 +17,9 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// TestFaults is the table of faults of one request, what the sender is told, and
-// what the journal of the back end shows. Each row guards a promise: "not run"
-// never ran, and a cut answer is never whole.
+// TestFaults checks for each fault of a request what the sender is told and what the
+// backend's journal shows: a request reported as "not run" never ran, and a response
+// that broke off is never delivered as complete.
 func TestFaults(t *testing.T) {
 	finished := backend.Runs{Started: 1, Finished: 1}
 	none := backend.Runs{}
@@ -27,30 +27,30 @@
 		name    string
 		arrange func(r *rig)
 		header  []string
-		status  int // zero: the answer is cut
+		status  int // zero: the response is cut
 		outcome outcome.Outcome
 		reason  outcome.Reason
 		journal backend.Runs
 	}{
 		{"none", nil, nil, 200, "", "", finished},
-		{"error of the back end", nil, []string{backend.HeaderStatus, "500"}, 500, "", "", finished},
-		{"no time given", nil, []string{outcome.HeaderRemaining, ""}, 200, "", "", finished},
+		{"error response of the backend", nil, []string{backend.HeaderStatus, "500"}, 500, "", "", finished},
+		{"no timeout header", nil, []string{outcome.HeaderRemaining, ""}, 200, "", "", finished},
 		{"no time left", nil, []string{outcome.HeaderRemaining, "0"}, 504, outcome.NotRun, outcome.ReasonDeadline, none},
-		{"time unreadable", nil, []string{outcome.HeaderRemaining, "soon"}, 400, outcome.NotRun, outcome.ReasonBadRequest, none},
-		{"meant for the predecessor", nil, []string{outcome.HeaderTarget, "reservas-1/6"}, 421, outcome.NotRun, outcome.ReasonWrongInstance, none},
-		{"not from a node", nil, []string{outcome.HeaderTarget, ""}, 400, outcome.NotRun, outcome.ReasonBadRequest, none},
-		{"back end down", func(r *rig) { r.backend.Kill() }, nil, 502, outcome.NotRun, outcome.ReasonConnect, none},
-		{"back end sheds", func(r *rig) { r.backend.Configure(backend.Behavior{Shed: true}) }, nil,
+		{"malformed timeout header", nil, []string{outcome.HeaderRemaining, "soon"}, 400, outcome.NotRun, outcome.ReasonBadRequest, none},
+		{"addressed to the previous process", nil, []string{outcome.HeaderTarget, "reservas-1/6"}, 421, outcome.NotRun, outcome.ReasonWrongInstance, none},
+		{"no target header", nil, []string{outcome.HeaderTarget, ""}, 400, outcome.NotRun, outcome.ReasonBadRequest, none},
+		{"backend down", func(r *rig) { r.backend.Kill() }, nil, 502, outcome.NotRun, outcome.ReasonConnect, none},
+		{"backend sheds load", func(r *rig) { r.backend.Configure(backend.Behavior{Shed: true}) }, nil,
 			503, outcome.NotRun, outcome.ReasonOverloaded, none},
-		{"stopping", func(r *rig) { r.proxy.refusing.Store(true) }, nil, 503, outcome.NotRun, outcome.ReasonDraining, none},
+		{"draining", func(r *rig) { r.proxy.refusing.Store(true) }, nil, 503, outcome.NotRun, outcome.ReasonDraining, none},
 		{"reset before the body is read", nil, fault(backend.FaultResetBeforeRead), 502, outcome.Unknown, outcome.ReasonBroken, none},
-		{"reset after the work", nil, fault(backend.FaultResetAfterRead), 502, outcome.Unknown, outcome.ReasonBroken, finished},
-		{"reset in the answer", nil, fault(backend.FaultResetMidAnswer), 0, "", "", finished},
-		{"closed in the answer", nil, fault(backend.FaultCloseMidAnswer), 0, "", "", finished},
-		{"wrong length", nil, fault(backend.FaultWrongLength), 0, "", "", finished},
+		{"reset after the request ran", nil, fault(backend.FaultResetAfterRead), 502, outcome.Unknown, outcome.ReasonBroken, finished},
+		{"reset within the response", nil, fault(backend.FaultResetMidAnswer), 0, "", "", finished},
+		{"closed within the response", nil, fault(backend.FaultCloseMidAnswer), 0, "", "", finished},
+		{"response shorter than declared", nil, fault(backend.FaultWrongLength), 0, "", "", finished},
 		{"stalled", nil, append(fault(backend.FaultStall), outcome.HeaderRemaining, "300"),
 			504, outcome.Unknown, outcome.ReasonDeadline, backend.Runs{Started: 1, Cancelled: 1}},
-		{"stalled in the answer", nil, append(fault(backend.FaultStallMidAnswer), outcome.HeaderRemaining, "300"),
+		{"stalled within the response", nil, append(fault(backend.FaultStallMidAnswer), outcome.HeaderRemaining, "300"),
 			0, "", "", finished},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 				r.checkProblem(got, test.status, test.outcome, test.reason)
 			}
 			r.eventually(func() bool { return r.proxy.admission.Usage().InFlight == 0 })
-			r.eventually(func() bool { return endedRuns(r.backend.Journal().Request("1")) })
+			r.eventually(func() bool { return allRunsEnded(r.backend.Journal().Request("1")) })
 			r.Check(r.backend.Journal().Request("1"), qt.Equals, test.journal)
 		})
 	}
@@ -79,13 +79,13 @@
 
 func fault(fault backend.Fault) []string { return []string{backend.HeaderFault, string(fault)} }
 
-func endedRuns(runs backend.Runs) bool {
+func allRunsEnded(runs backend.Runs) bool {
 	return runs.Started == runs.Finished+runs.Cancelled+runs.Expired
 }
 
-// TestNothingIsSentTwice has a reused connection reset under a request that
-// http.Transport would send again by itself.
-func TestNothingIsSentTwice(t *testing.T) {
+// http.Transport resends a request by itself if a reused connection is reset. The
+// proxy must prevent that, as the request may have run.
+func TestTransportDoesNotResend(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			r := newRig(t, backend.Options{}, plainSettings())
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestPausedProcessForwardsNothingLate has a request read right after a pause in
-// which it may have waited longer than its time.
-func TestPausedProcessForwardsNothingLate(t *testing.T) {
+// A request that is read right after a pause of the process may have waited longer
+// than its remaining time, and must then not be forwarded.
+func TestPausedProcessForwardsNoExpiredRequest(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		remaining string
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestSenderGoneIsNotForwarded has a sender that gave its request up while it
-// waited unread, as while the process was paused.
+// A request whose sender closed the connection before it was read, as during a pause
+// of the process, must not be forwarded.
 func TestSenderGoneIsNotForwarded(t *testing.T) {
 	r := newRig(t, backend.Options{}, settings.Inbound{
 		Service: testService, Slots: 1, Connections: 10, MaxQueued: 10, RepeatMemory: time.Minute,
@@ -159,9 +159,9 @@
 func (discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 func (discardWriter) WriteHeader(int)                {}
 
-// TestAnswerBeforeTheBodyCame has a sender that stops within its body. The answer
-// doesn't wait for the rest, and what may still come is no next request.
-func TestAnswerBeforeTheBodyCame(t *testing.T) {
+// The sender stops within the body. The response must not wait for the rest of the
+// body, and the rest must not be taken for the next request.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	early := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		w.Header().Set("Connection", "close")
@@ -173,11 +173,11 @@
 		length       int
 		status       int
 	}{
-		{"refused", "other/1", 100, http.StatusMisdirectedRequest},
-		{"answered early by the back end", testTarget, shortBodyBytes + 1, http.StatusConflict},
+		{"refused by the proxy", "other/1", 100, http.StatusMisdirectedRequest},
+		{"early response of the backend", testTarget, shortBodyBytes + 1, http.StatusConflict},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRigBefore(t, early.Listener.Addr().String(), plainSettings())
+			r := newRigForAddress(t, early.Listener.Addr().String(), plainSettings())
 			conn, err := net.Dial("tcp", r.address)
 			r.Assert(err, qt.IsNil)
 			defer conn.Close()
--- a/internal/proxy/inbound/keyed.go
+++ b/internal/proxy/inbound/idempotency.go
@@ -10,22 +10,22 @@
 	"github.com/winchhead/winchhead/internal/proxy/repeat"
 )
 
-// fingerprintBytes is how much of a body is read before the request is sent, to
-// tell repeats from other requests with the same key.
+// fingerprintBytes is how much of a body is read before the request is sent, to tell a
+// repeat from another request with the same key.
 const fingerprintBytes = 1 << 20
 
-// keyed is what an Idempotency-Key brings to an exchange.
-type keyed struct {
-	first    repeat.Run     // non-nil: the first with its key
-	replay   *repeat.Answer // non-nil: the remembered answer to give
-	kept     *repeat.Answer // grows with the answer of first; nil: too large
-	finished bool           // the answer of first came to its end
-	shed     bool           // the back end said that it did not run
-	detached bool           // goes on when the sender leaves
-	lost     bool           // the sender takes no more of the answer
+// idempotencyState is the state of an exchange whose request has an Idempotency-Key.
+type idempotencyState struct {
+	firstRun   repeat.Run     // set if this is the first request with its key
+	replay     *repeat.Answer // set if the request repeats one whose response is remembered
+	recorded   *repeat.Answer // response of the first request so far; nil if too large
+	completed  bool           // the response of the first request was complete
+	shed       bool           // the backend refused the request, which did not run
+	detached   bool           // continues when the sender disconnects
+	senderLost bool           // a write to the sender failed
 }
 
-// claim asks the memory about the request's key. It may set first or replay.
+// claim asks the memory about the request's key. It may set firstRun or replay.
 func (e *exchange) claim(routeName string) *outcome.Problem {
 	values := e.request.Header.Values(outcome.HeaderIdempotencyKey)
 	if len(values) == 0 || !e.runsOnce() {
@@ -45,20 +45,20 @@
 		return refusal(outcome.ReasonNoQuorum, "")
 	}
 	if err != nil {
-		e.proxy.logger.WithError(err).Warn("request with a key refused")
+		e.proxy.logger.WithError(err).Warn("refused a request whose idempotency key cannot be remembered")
 		return refusal(outcome.ReasonOverloaded, "the key cannot be remembered")
 	}
 	e.proxy.metrics.claimed(claim.Verdict)
-	e.first, e.replay = claim.Run, claim.Answer
-	if e.first != nil && whole {
-		// Nothing more is needed of the sender. The request runs to its end even
-		// when the sender leaves, so that a repeat gets a clear answer.
-		e.detached = e.unlink()
+	e.firstRun, e.replay = claim.Run, claim.Answer
+	if e.firstRun != nil && whole {
+		// Nothing more is needed from the sender. The request runs to its end even if
+		// the sender disconnects, so that a repeat gets a definite response.
+		e.detached = e.detachFromSender()
 	}
-	return problemOf(claim.Verdict)
+	return problemForVerdict(claim.Verdict)
 }
 
-// runsOnce reports whether repeats must be kept from running.
+// runsOnce reports whether repeats of the request must not run again.
 func (e *exchange) runsOnce() bool {
 	if e.upgrade != "" || e.proxy.settings.RepeatMemory <= 0 {
 		return false
@@ -86,9 +86,10 @@
 	return repeat.NewFingerprint(e.request.Method, e.request.URL.RequestURI(), length, start), whole, nil
 }
 
-// problemOf refuses a repeat that gets no answer. Such a refusal is not "not run":
-// the first may have run.
-func problemOf(verdict repeat.Verdict) *outcome.Problem {
+// problemForVerdict returns the refusal of a repeat that gets no response. Its outcome
+// is not "not run" unless the key was used with another request, as the first request
+// may have run.
+func problemForVerdict(verdict repeat.Verdict) *outcome.Problem {
 	var problem outcome.Problem
 	switch verdict {
 	case repeat.Running:
@@ -105,75 +106,77 @@
 	return &problem
 }
 
-// record begins to keep the answer. The header is copied before it is passed on.
+// record begins to record the response. It copies the header before it is passed on.
 func (e *exchange) record(response *http.Response) {
-	if e.first == nil || e.finished {
+	if e.firstRun == nil || e.completed {
 		return
 	}
 	header := make(http.Header, len(response.Header))
 	forward.PassAnswerHeader(header, response.Header.Clone())
-	e.kept = &repeat.Answer{Status: response.StatusCode, Header: header}
+	e.recorded = &repeat.Answer{Status: response.StatusCode, Header: header}
 }
 
-func (e *exchange) recordPiece(piece []byte) {
-	if e.kept == nil {
+func (e *exchange) recordChunk(chunk []byte) {
+	if e.recorded == nil {
 		return
 	}
-	if len(e.kept.Body)+len(piece) > repeat.DefaultAnswerBytes {
-		e.kept = nil
+	if len(e.recorded.Body)+len(chunk) > repeat.DefaultAnswerBytes {
+		e.recorded = nil
 		return
 	}
-	e.kept.Body = append(e.kept.Body, piece...)
+	e.recorded.Body = append(e.recorded.Body, chunk...)
 }
 
-// keepAnswer ends the first with the answer recorded.
-func (e *exchange) keepAnswer(trailer http.Header) {
-	if e.kept != nil {
-		e.kept.Trailer = trailer.Clone()
-		outcome.StripInternal(e.kept.Trailer)
-	}
-	e.finished = true
-	e.settleKey()
+// keepResponse ends the first run with the recorded response.
+func (e *exchange) keepResponse(trailer http.Header) {
+	if e.recorded != nil {
+		e.recorded.Trailer = trailer.Clone()
+		outcome.StripInternal(e.recorded.Trailer)
+	}
+	e.completed = true
+	e.endFirstRun()
 }
 
-// keepNoAnswer ends the first: its answer is a session, which cannot be given
-// again.
-func (e *exchange) keepNoAnswer() {
-	e.finished = true
-	e.settleKey()
+// keepNoResponse ends the first run without a response, as a session cannot be
+// replayed.
+func (e *exchange) keepNoResponse() {
+	e.completed = true
+	e.endFirstRun()
 }
 
-// endUnheard ends an answer that was read to its end for repeats only.
-func (e *exchange) endUnheard() ending {
-	e.keepAnswer(nil)
+// endWithoutSender ends an exchange whose response was read to its end for repeats
+// only.
+func (e *exchange) endWithoutSender() exchangeEnd {
+	e.keepResponse(nil)
 	return endedCallerGone
 }
 
-// settleKey tells the memory how the first ended; only the first call counts.
-func (e *exchange) settleKey() {
+// endFirstRun tells the memory how the first request ended; only the first call
+// counts.
+func (e *exchange) endFirstRun() {
 	switch {
-	case e.first == nil:
-	case e.finished:
-		e.first.End(repeat.EndedDone, e.kept)
+	case e.firstRun == nil:
+	case e.completed:
+		e.firstRun.End(repeat.EndedDone, e.recorded)
 	case e.shed || !e.send.Seal():
-		e.first.End(repeat.EndedNotRun, nil)
+		e.firstRun.End(repeat.EndedNotRun, nil)
 	default:
-		e.first.End(repeat.EndedUnknown, nil)
+		e.firstRun.End(repeat.EndedUnknown, nil)
 	}
 }
 
-// giveReplay answers with what the first with the key was answered.
-func (e *exchange) giveReplay() ending {
+// writeReplay responds with the remembered response to the first request with the key.
+func (e *exchange) writeReplay() exchangeEnd {
 	header := e.writer.Header()
 	for name, values := range e.replay.Header {
 		header[name] = values
 	}
-	e.proxy.mark(header)
+	e.proxy.setInstanceHeaders(header)
 	for name := range e.replay.Trailer {
 		header.Add(forward.HeaderTrailer, name)
 	}
-	e.beginAnswer()
-	e.body.beforeAnswer(e.writer)
+	e.beginResponse()
+	e.body.closeIfUnread(e.writer)
 	e.writer.WriteHeader(e.replay.Status)
 	if _, err := e.writer.Write(e.replay.Body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
 		return endedCallerGone
--- a/internal/proxy/inbound/keyed_test.go
+++ b/internal/proxy/inbound/idempotency_test.go
@@ -13,7 +13,7 @@
 	"github.com/winchhead/winchhead/internal/proxy/repeat"
 )
 
-// TestRepeatsRunOnce has a booking sent, and its repeat with the same key.
+// TestRepeatsRunOnce sends a request and a repeat of it with the same key.
 func TestRepeatsRunOnce(t *testing.T) {
 	large := []string{backend.HeaderAnswerBytes, strconv.Itoa(100_000)}
 	for _, test := range []struct {
@@ -26,21 +26,21 @@
 		reason       outcome.Reason
 		started      int
 	}{
-		{"gets the first's answer", "POST", "a booking", nil, nil, 200, "", "", 1},
-		{"gets the first's error", "POST", "a booking", []string{backend.HeaderStatus, "500"}, nil, 500, "", "", 1},
-		{"first's answer too large to keep", "POST", "a booking", large, nil, 409, outcome.Unknown, outcome.ReasonRepeatDone, 1},
-		{"other body", "POST", "another booking", nil, nil, 422, outcome.NotRun, outcome.ReasonRepeatConflict, 1},
-		{"other method", "DELETE", "a booking", nil, nil, 422, outcome.NotRun, outcome.ReasonRepeatConflict, 1},
+		{"gets the first response", "POST", "a booking", nil, nil, 200, "", "", 1},
+		{"gets the first error response", "POST", "a booking", []string{backend.HeaderStatus, "500"}, nil, 500, "", "", 1},
+		{"first response too large to keep", "POST", "a booking", large, nil, 409, outcome.Unknown, outcome.ReasonRepeatDone, 1},
+		{"different body", "POST", "another booking", nil, nil, 422, outcome.NotRun, outcome.ReasonRepeatConflict, 1},
+		{"different method", "DELETE", "a booking", nil, nil, 422, outcome.NotRun, outcome.ReasonRepeatConflict, 1},
 		{"first was refused", "POST", "a booking", []string{outcome.HeaderRemaining, "0"}, nil, 200, "", "", 1},
 		{"first was shed", "POST", "a booking", nil,
 			func(r *rig) { r.backend.Configure(backend.Behavior{}) }, 200, "", "", 1},
-		{"first was lost", "POST", "a booking", fault(backend.FaultResetAfterRead), nil, 409, outcome.Unknown, outcome.ReasonRepeatLost, 1},
-		{"first was cut", "POST", "a booking", fault(backend.FaultCloseMidAnswer), nil, 409, outcome.Unknown, outcome.ReasonRepeatLost, 1},
-		{"route lets the method repeat", "PUT", "a booking", nil, nil, 200, "", "", 2},
+		{"connection broke before the first response", "POST", "a booking", fault(backend.FaultResetAfterRead), nil, 409, outcome.Unknown, outcome.ReasonRepeatLost, 1},
+		{"first response was cut", "POST", "a booking", fault(backend.FaultCloseMidAnswer), nil, 409, outcome.Unknown, outcome.ReasonRepeatLost, 1},
+		{"route allows the method to repeat", "PUT", "a booking", nil, nil, 200, "", "", 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := newRig(t, backend.Options{Behavior: backend.Behavior{Shed: test.between != nil}}, plainSettings())
-			keyed := func(method, body string, pairs []string) answer {
+			sendWithKey := func(method, body string, pairs []string) clientResponse {
 				return r.do(r.request(t.Context(), method, backend.PathEcho, body,
 					append([]string{outcome.HeaderIdempotencyKey, "k"}, pairs...)...))
 			}
@@ -48,11 +48,11 @@
 			if test.method == http.MethodPut {
 				method = http.MethodPut
 			}
-			first := keyed(method, "a booking", test.first)
+			first := sendWithKey(method, "a booking", test.first)
 			if test.between != nil {
 				test.between(r)
 			}
-			again := keyed(test.method, test.body, nil)
+			again := sendWithKey(test.method, test.body, nil)
 			if test.outcome != "" {
 				r.checkProblem(again, test.status, test.outcome, test.reason)
 			} else {
@@ -69,12 +69,12 @@
 	}
 }
 
-// TestSenderThatLeftGetsItsAnswerByRepeating has a sender leave while its booking
-// runs: the booking runs to its end, once, and the repeat gets the answer.
-func TestSenderThatLeftGetsItsAnswerByRepeating(t *testing.T) {
+// The sender disconnects while its request runs. The request must run to its end,
+// once, and a repeat must get its response.
+func TestRepeatGetsResponseAfterSenderLeft(t *testing.T) {
 	r := newRig(t, backend.Options{}, plainSettings())
 	ctx, cancel := context.WithCancel(t.Context())
-	left := make(chan answer, 1)
+	left := make(chan clientResponse, 1)
 	request := r.request(ctx, http.MethodPost, backend.PathEcho, "a booking",
 		outcome.HeaderIdempotencyKey, "k", backend.HeaderWork, "300")
 	go func() { left <- r.do(request) }()
@@ -87,10 +87,10 @@
 	r.Check(r.backend.Journal().Key("k"), qt.Equals, backend.Runs{Started: 1, Finished: 1})
 }
 
-// TestRepeatWhileTheFirstRuns has the repeat's time end before the first does.
+// The deadline of a repeat passes while the first request still runs.
 func TestRepeatWhileTheFirstRuns(t *testing.T) {
 	r := newRig(t, backend.Options{}, plainSettings())
-	held := make(chan answer, 1)
+	held := make(chan clientResponse, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	request := r.request(ctx, http.MethodPost, backend.PathEcho, "a booking", outcome.HeaderIdempotencyKey, "k",
 		backend.HeaderFault, string(backend.FaultStall), outcome.HeaderRemaining, "1000")
@@ -105,7 +105,7 @@
 	r.Check(r.backend.Journal().Key("k").Started, qt.Equals, 1)
 }
 
-// noQuorum is a memory whose replicas cannot be reached.
+// noQuorum is a memory whose replicas are unreachable.
 type noQuorum struct{ deadlines chan bool }
 
 func (m noQuorum) Begin(ctx context.Context, _ repeat.Key, _ repeat.Fingerprint) (repeat.Claim, error) {
@@ -114,7 +114,7 @@
 	return repeat.Claim{}, repeat.ErrNoQuorum
 }
 
-// TestNoQuorumIsNotRun has a booking whose key too few nodes can remember.
+// A request whose key too few nodes can remember must be refused as not run.
 func TestNoQuorumIsNotRun(t *testing.T) {
 	r := newRig(t, backend.Options{}, plainSettings())
 	memory := noQuorum{make(chan bool, 1)}
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -1,7 +1,8 @@
-// Package inbound is the proxy beside a back end. It alone sends requests to the
-// back end, so its count of slots and connections is exact: what it refuses as
-// not run never reached the back end. It checks deadlines, remembers
-// Idempotency-Keys and publishes whether the back end takes work.
+// Package inbound implements the sidecar's proxy in front of a backend instance. It
+// alone sends requests to the instance, so that its counts of slots and connections
+// are exact: a request that it refuses as not run never reached the instance. It
+// enforces deadlines, remembers Idempotency-Keys and publishes whether the instance
+// takes requests.
 package inbound
 
 import (
@@ -22,36 +23,36 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// SnapshotSource gives the configuration in force.
+// SnapshotSource provides the configuration in force.
 type SnapshotSource interface {
-	// Current returns nil until the node holds a version.
+	// Current returns nil until the node holds a configuration.
 	Current() *snapshot.Snapshot
 }
 
-// StatePublisher tells the fleet whether this instance takes work.
+// StatePublisher publishes to the fleet whether this instance takes requests.
 type StatePublisher interface {
-	// SetState must return soon and must not call the proxy.
+	// SetState must return quickly and must not call the proxy.
 	SetState(state membership.State)
 }
 
-// Options are what a Proxy is made from.
+// Options configure a Proxy.
 type Options struct {
 	Snapshots SnapshotSource
-	// Self names the process that requests must be meant for.
+	// Self identifies the process that requests must be addressed to.
 	Self membership.Record
-	// Incarnation tells under which incarnation the fleet knows the process, which
-	// may be above Self's; nil takes Self's.
+	// Incarnation returns the incarnation under which the fleet knows the process,
+	// which may be above Self's; nil means Self's.
 	Incarnation func() membership.Incarnation
 	Publisher   StatePublisher
 	Settings    settings.Inbound
 	Logger      logrus.FieldLogger
 	Registerer  prometheus.Registerer
-	// Memory remembers Idempotency-Keys; nil takes one in this process.
+	// Memory remembers Idempotency-Keys; nil means a memory in this process only.
 	Memory repeat.Memory
 }
 
-// Proxy takes requests of other nodes for the back end. It is safe for concurrent
-// use. Run it beside its server; end it with Drain, then Close.
+// Proxy forwards requests of other nodes to the backend. It is safe for concurrent
+// use. Call Run beside its server; stop it with Drain, then Close.
 type Proxy struct {
 	snapshots SnapshotSource
 	settings  settings.Inbound
@@ -66,24 +67,24 @@
 	readiness   *readinessPublisher
 	pauses      pauseDetector
 	activity    forward.Activity
-	stopping    atomic.Bool // planned stop announced
-	refusing    atomic.Bool // planned stop: no new work
+	stopping    atomic.Bool // the drain is published
+	refusing    atomic.Bool // draining: requests are refused
 
-	configured sync.Mutex // guards the application of a snapshot's limits
-	limits     atomic.Pointer[serviceLimits]
+	limitsMu sync.Mutex // serializes applying the limits of a snapshot
+	limits   atomic.Pointer[serviceLimits]
 
-	base   context.Context // ends with Close
+	base   context.Context // cancelled by Close
 	cancel context.CancelFunc
 }
 
-// New returns a Proxy, or an error when an option is missing or the metrics
-// cannot be registered.
+// New returns a Proxy, or an error if an option is missing or the metrics cannot be
+// registered.
 func New(options Options) (*Proxy, error) {
 	if options.Snapshots == nil || options.Publisher == nil {
-		return nil, eris.New("inbound proxy: needs a source of snapshots and a publisher")
+		return nil, eris.New("inbound proxy: a snapshot source and a state publisher are required")
 	}
 	if options.Settings.Backend == "" {
-		return nil, eris.New("inbound proxy: needs the address of the back end")
+		return nil, eris.New("inbound proxy: the address of the backend is required")
 	}
 	if options.Incarnation == nil {
 		options.Incarnation = func() membership.Incarnation { return options.Self.Incarnation }
@@ -113,20 +114,20 @@
 	return proxy, nil
 }
 
-// ServeHTTP takes one request to the back end. It panics with
-// http.ErrAbortHandler to cut an answer that was cut on its way here.
+// ServeHTTP forwards one request to the backend. It panics with http.ErrAbortHandler
+// to cut a response that broke off on its way here.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.activity.Begin()
 	defer p.activity.End()
-	body := takeBody(w, r)
+	body := newRequestBody(w, r)
 	defer body.finish(w)
 	admitted, problem := p.admit(w, r, body)
 	if problem != nil {
-		p.conclude(w, body, failure(*problem))
+		p.finishResponse(w, body, endedWithProblem(*problem))
 		return
 	}
 	defer admitted.end()
-	p.conclude(w, body, admitted.run())
+	p.finishResponse(w, body, admitted.run())
 }
 
 // Close cuts all requests and sessions and waits until they have ended.
--- a/internal/proxy/inbound/limits.go
+++ b/internal/proxy/inbound/limits.go
@@ -5,18 +5,18 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// reportConnections is how many connections are kept free for reading the back
-// end's reports.
+// reportConnections is how many connections are reserved for reading the backend's
+// reports.
 const reportConnections = 1
 
-// serviceLimits is what one snapshot says about this back end.
+// serviceLimits holds what one snapshot says about this backend.
 type serviceLimits struct {
 	snapshot *snapshot.Snapshot
 	routes   map[string]*snapshot.Route
 }
 
-// configuration returns the limits of the snapshot in force, or nil without one.
-// A new snapshot's limits are applied on its first request.
+// configuration returns the limits of the snapshot in force, or nil if there is none.
+// The limits of a new snapshot are applied on its first request.
 func (p *Proxy) configuration() *serviceLimits {
 	current := p.snapshots.Current()
 	if current == nil {
@@ -29,8 +29,8 @@
 }
 
 func (p *Proxy) applyLimits(current *snapshot.Snapshot) *serviceLimits {
-	p.configured.Lock()
-	defer p.configured.Unlock()
+	p.limitsMu.Lock()
+	defer p.limitsMu.Unlock()
 	if known := p.limits.Load(); known != nil && known.snapshot == current {
 		return known
 	}
@@ -53,8 +53,8 @@
 	return p.settings.Connections
 }
 
-// admissionLimits takes the service's limits over those of the settings. A
-// connection is kept free for reports where they are read.
+// admissionLimits prefers the limits of the service to those of the settings, and
+// reserves reportConnections.
 func (p *Proxy) admissionLimits(service snapshot.Service) admission.Limits {
 	limits := admission.Limits{
 		Slots:       p.settings.Slots,
@@ -70,22 +70,24 @@
 	return limits
 }
 
-// The weights of routes that compete for slots. A read that is shed can be sent
-// again at no risk; a booking that is shed costs its caller more.
+// Weights of routes that compete for slots. A shed request that may be repeated can be
+// sent again without risk; shedding one that may not, such as a booking, costs its
+// caller more.
 const (
-	weightRepeatable = 1
-	weightOnce       = 2
+	weightRepeatable    = 1
+	weightNonRepeatable = 2
 )
 
-// routeLimits returns the limits of a route; of one that this node does not hold
-// (it may be a version behind the sender) only the instance's own bounds apply.
+// routeLimits returns the limits of a route. For a route that this node does not hold
+// (its configuration may be older than the sender's), only the limits of the instance
+// apply.
 func routeLimits(route *snapshot.Route, method string) admission.RouteLimits {
 	if route == nil {
 		return admission.RouteLimits{Weight: weightRepeatable}
 	}
 	weight := weightRepeatable
 	if !route.MayRepeat(method) {
-		weight = weightOnce
+		weight = weightNonRepeatable
 	}
 	return admission.RouteLimits{
 		MaxInFlight: route.Limits.MaxInFlight,
--- a/internal/proxy/inbound/limits_test.go
+++ b/internal/proxy/inbound/limits_test.go
@@ -20,8 +20,9 @@
 )
 
 // TestLimitsHoldUnderLoad sends several times the capacity, with senders that
-// leave, faults and sessions. The back end counts no request and no connection too
-// many, and nothing refused as not run is in its journal.
+// disconnect, faults and sessions. The backend must never have more requests or
+// connections than its limits, and no request that was refused as not run may be in
+// its journal.
 func TestLimitsHoldUnderLoad(t *testing.T) {
 	const slots, connections, requests, senders = 4, 9, 600, 32
 	set := plainSettings()
@@ -41,7 +42,7 @@
 		case number%20 == 0:
 			pairs = append(pairs, backend.HeaderFault, string(faults[number/20%len(faults)]), outcome.HeaderRemaining, "50")
 		case number%7 == 0:
-			go cancel() // leaves at any moment
+			go cancel() // disconnects at any moment
 		case number%11 == 0:
 			method, path = http.MethodGet, backend.PathEvents+"?count=3&interval-ms=1"
 		}
@@ -50,7 +51,7 @@
 			refused.Store(number, true)
 		}
 	}
-	go release() // while the others come
+	go release() // while other requests arrive
 	for range senders {
 		group.Go(func() {
 			for number := next.Add(1); number <= requests; number = next.Add(1) {
@@ -86,15 +87,14 @@
 	}
 }
 
-// TestCancelledWorkStops has a sender leave while its request runs and another
-// while it waits.
+// One sender disconnects while its request runs, another while its request is queued.
 func TestCancelledWorkStops(t *testing.T) {
 	set := plainSettings()
 	set.Slots = 1
 	r := newRig(t, backend.Options{}, set)
-	leave := func(request int) (context.CancelFunc, <-chan answer) {
+	leave := func(request int) (context.CancelFunc, <-chan clientResponse) {
 		ctx, cancel := context.WithCancel(t.Context())
-		done := make(chan answer, 1)
+		done := make(chan clientResponse, 1)
 		sent := r.request(ctx, http.MethodPost, backend.PathEcho, "a booking",
 			backend.HeaderRequest, strconv.Itoa(request), backend.HeaderWork, "600000")
 		go func() { done <- r.do(sent) }()
@@ -114,7 +114,7 @@
 	r.Check(r.backend.Journal().Total().Started, qt.Equals, 1)
 }
 
-func TestFullQueueTellsWhenToRetry(t *testing.T) {
+func TestFullQueueSetsRetryAfter(t *testing.T) {
 	set := plainSettings()
 	set.Slots, set.MaxQueued = 1, 0
 	r := newRig(t, backend.Options{}, set)
@@ -125,26 +125,26 @@
 	r.Check(got.Header.Get(outcome.HeaderLoad), qt.Equals, "1.000")
 }
 
-// TestSlotIsHeldUntilTheBackEndHasStopped has a back end that is slow to notice
-// that a request was given up: its slot and its connection stay in use meanwhile.
-func TestSlotIsHeldUntilTheBackEndHasStopped(t *testing.T) {
+// A backend that is slow to notice that a request was cancelled may still work on it,
+// so the slot and the connection must stay in use until the backend closes its side.
+func TestSlotIsHeldUntilBackendStops(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		patience time.Duration
-		notices  bool // the back end ends its side in the end
+		name      string
+		closeWait time.Duration
+		notices   bool // the backend closes its side
 	}{
-		{"it stops at last", time.Hour, true},
-		{"it never stops", time.Millisecond, false},
+		{"the backend closes late", time.Hour, true},
+		{"the backend never closes", time.Millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			qt.Assert(t, err, qt.IsNil)
 			defer listener.Close()
-			r := newRigBefore(t, listener.Addr().String(), plainSettings())
-			r.proxy.backend.patience = test.patience
+			r := newRigForAddress(t, listener.Addr().String(), plainSettings())
+			r.proxy.backend.closeWait = test.closeWait
 			ctx, cancel := context.WithCancel(t.Context())
 			request := r.request(ctx, http.MethodPost, "/", "a booking")
-			left := make(chan answer, 1)
+			left := make(chan clientResponse, 1)
 			go func() { left <- r.do(request) }()
 			conn, err := listener.Accept()
 			r.Assert(err, qt.IsNil)
--- a/internal/proxy/inbound/metrics.go
+++ b/internal/proxy/inbound/metrics.go
@@ -8,13 +8,13 @@
 	"github.com/winchhead/winchhead/internal/proxy/repeat"
 )
 
-// metricPrefix starts the name of each metric of the package.
+// metricPrefix is the prefix of the names of all metrics of the package.
 const metricPrefix = "winchhead_inbound_"
 
-// metrics is what operators see of the proxy.
+// metrics holds the metrics of the proxy.
 type metrics struct {
 	requests     *prometheus.CounterVec // by how they ended
-	refused      *prometheus.CounterVec // by cause of the admission
+	refused      *prometheus.CounterVec // by admission cause
 	keys         *prometheus.CounterVec // by verdict of the memory
 	reportedLoad prometheus.Gauge
 }
@@ -39,13 +39,13 @@
 	}
 	for _, collector := range collectors {
 		if err := registerer.Register(collector); err != nil {
-			return nil, eris.Wrap(err, "inbound proxy: metrics")
+			return nil, eris.Wrap(err, "inbound proxy: register metrics")
 		}
 	}
 	return created, nil
 }
 
-// gauges read the proxy when they are collected.
+// gauges returns metrics that read the proxy when they are collected.
 func gauges(proxy *Proxy) []prometheus.Collector {
 	gauge := func(name, help string, read func() int) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help},
@@ -63,6 +63,6 @@
 	}
 }
 
-func (m *metrics) ended(end ending)               { m.requests.WithLabelValues(end.name).Inc() }
+func (m *metrics) ended(end exchangeEnd)          { m.requests.WithLabelValues(end.name).Inc() }
 func (m *metrics) shed(cause admission.Cause)     { m.refused.WithLabelValues(cause.String()).Inc() }
 func (m *metrics) claimed(verdict repeat.Verdict) { m.keys.WithLabelValues(verdict.String()).Inc() }
--- a/internal/proxy/inbound/publish.go
+++ b/internal/proxy/inbound/publish.go
@@ -9,22 +9,22 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// readinessPublisher is a readiness for goroutines that publishes its changes in
-// their order.
+// readinessPublisher makes a readiness safe for concurrent use and publishes its
+// changes in order.
 type readinessPublisher struct {
 	mu        sync.Mutex
 	readiness *readiness
 	publisher StatePublisher
 	logger    logrus.FieldLogger
 	stopping  bool
-	published membership.State // zero: nothing yet
+	published membership.State // zero: nothing was published
 }
 
-func newReadinessPublisher(publisher StatePublisher, logger logrus.FieldLogger, reports bool) *readinessPublisher {
-	return &readinessPublisher{readiness: newReadiness(reports), publisher: publisher, logger: logger}
+func newReadinessPublisher(publisher StatePublisher, logger logrus.FieldLogger, hasHealthEndpoint bool) *readinessPublisher {
+	return &readinessPublisher{readiness: newReadiness(hasHealthEndpoint), publisher: publisher, logger: logger}
 }
 
-// observe takes an event in and publishes the state when it changed.
+// observe applies an event and publishes the state if it changed.
 func (p *readinessPublisher) observe(event func(readiness *readiness, now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,7 +32,8 @@
 	p.publish()
 }
 
-// stop publishes that the node stops; the back end's state no longer matters.
+// stop publishes that the node is draining; from then on the backend's state is
+// ignored.
 func (p *readinessPublisher) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +46,7 @@
 	if state == p.published {
 		return
 	}
-	p.logger.WithField("state", state).Info("back end state changed")
+	p.logger.WithField("state", state).Info("backend state changed")
 	p.published = state
 	p.publisher.SetState(state)
 }
@@ -63,8 +64,8 @@
 	return p.current()
 }
 
-func (p *readinessPublisher) doubted(now time.Time) bool {
+func (p *readinessPublisher) degraded(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.readiness.doubted(now)
+	return p.readiness.degraded(now)
 }
--- a/internal/proxy/inbound/readiness.go
+++ b/internal/proxy/inbound/readiness.go
@@ -8,59 +8,63 @@
 )
 
 const (
-	// refusedLimit is how many connections in a row must be refused before the
-	// back end counts as down.
-	refusedLimit = 3
-	// successTrust is how long a request that was answered outweighs a bad health
+	// maxRefusals is how many connections in a row must be refused before the backend
+	// counts as down.
+	maxRefusals = 3
+	// successValidity is how long a response to a request outweighs a bad health
 	// report.
-	successTrust = 10 * time.Second
-	// trialAfter is how long a back end that takes connections may be kept out by
-	// bad health reports alone; then requests decide.
-	trialAfter = 30 * time.Second
-	// drainTrust is how long a drain that was announced on an answer, and that the
-	// health endpoint never showed, outweighs ready reports: longer than reports
-	// lag. A back end that is replaced between two reports comes back by it.
-	drainTrust = 30 * time.Second
-	// readyReportsAfterDrain is how many ready reports in a row end a drain that
-	// the health endpoint had shown.
+	successValidity = 10 * time.Second
+	// unhealthyTrialDelay is how long bad health reports alone may keep a backend that
+	// accepts connections out of service. After it, the backend gets requests and
+	// their responses decide.
+	unhealthyTrialDelay = 30 * time.Second
+	// drainAnnouncementValidity is how long a drain that was announced on a response,
+	// but never shown by the health endpoint, outweighs ready reports. It exceeds the
+	// delay of reports. A backend that was replaced between two reports becomes ready
+	// again after it.
+	drainAnnouncementValidity = 30 * time.Second
+	// readyReportsAfterDrain is how many ready reports in a row end a drain that the
+	// health endpoint has shown.
 	readyReportsAfterDrain = 2
 )
 
-// readiness decides whether the back end takes work, from reports that may lag or
-// lie and from what the proxy itself sees. It has no clock: now is passed in.
+// readiness decides whether the backend takes requests, from reports that may be late
+// or wrong and from what the proxy itself observes. It has no clock: now is passed in.
 //
 // The rules:
-//   - A back end starts as not ready until health says ready. If it takes
-//     connections and health is bad for trialAfter, it is tried all the same.
-//   - A bad report never takes a ready back end out, as a lying endpoint would
-//     empty the service. It makes the back end doubted (others are preferred)
-//     unless a request was answered within successTrust.
-//   - Connections refused in a row do take it out; a good report does not bring
-//     it back while they are refused.
-//   - A drain that is announced, by a report or on an answer, always counts at
-//     once. It ends when the back end was down and came back, or when the health
-//     endpoint showed it and then says ready again; "ready" from an endpoint that
-//     has not shown the drain yet only lags, unless it says so for drainTrust
-//     after the last announcement.
+//   - A backend starts as not ready until its health is ready. If it accepts
+//     connections and its health is bad for unhealthyTrialDelay, it gets requests
+//     nevertheless.
+//   - A bad report never takes a ready backend out of service, as a faulty health
+//     endpoint would then take out every instance of the service. The backend
+//     becomes degraded (senders prefer others) unless a request was answered within
+//     successValidity.
+//   - Refused connections in a row take it out of service; a good report does not
+//     bring it back while connections are refused.
+//   - A drain that is announced, by a report or on a response, applies at once. It
+//     ends when the backend was down and came back, or when the health endpoint
+//     showed the drain and then is ready again. A ready report from an endpoint that
+//     has not shown the drain is taken to be late, unless ready reports continue for
+//     drainAnnouncementValidity after the last announcement.
 type readiness struct {
-	reports      bool // there is a health endpoint
-	state        membership.State
-	refused      int       // connections refused in a row
-	reachable    time.Time // since when connections are taken; zero: they are not
-	lastSuccess  time.Time
-	lastReport   report.Status // "" until there is one
-	drainShown   bool          // health showed the drain
-	drainedAt    time.Time     // of the last answer that announced the drain
-	readyReports int           // in a row
+	hasHealthEndpoint   bool
+	state               membership.State
+	consecutiveRefusals int
+	reachableSince      time.Time // zero: connections are not accepted
+	lastSuccess         time.Time
+	lastReport          report.Status // "" until there is one
+	drainReported       bool          // the health endpoint showed the drain
+	drainAnnouncedAt    time.Time     // time of the last response that announced the drain
+	readyReports        int           // in a row
 }
 
-func newReadiness(reports bool) *readiness {
-	return &readiness{reports: reports, state: membership.StateStarting}
+func newReadiness(hasHealthEndpoint bool) *readiness {
+	return &readiness{hasHealthEndpoint: hasHealthEndpoint, state: membership.StateStarting}
 }
 
-// reported takes a health report in.
-func (r *readiness) reported(status report.Status, now time.Time) {
-	r.connected(now)
+// observeReport applies a health report.
+func (r *readiness) observeReport(status report.Status, now time.Time) {
+	r.observeConnection(now)
 	r.lastReport = status
 	if status == report.StatusReady {
 		r.readyReports++
@@ -70,7 +74,7 @@
 	switch {
 	case status == report.StatusDraining:
 		r.state = membership.StateDraining
-		r.drainShown = true
+		r.drainReported = true
 	case r.state == membership.StateStarting:
 		r.leaveStarting(now)
 	case r.state == membership.StateDraining:
@@ -78,9 +82,9 @@
 	}
 }
 
-// unreported takes in that the health endpoint gave no answer although the back
-// end may take connections.
-func (r *readiness) unreported(now time.Time) {
+// observeMissingReport applies that the health endpoint did not respond, although the
+// backend may accept connections.
+func (r *readiness) observeMissingReport(now time.Time) {
 	r.lastReport = report.StatusFailing
 	r.readyReports = 0
 	if r.state == membership.StateStarting {
@@ -88,58 +92,60 @@
 	}
 }
 
-// connected takes in that the back end took a connection.
-func (r *readiness) connected(now time.Time) {
-	r.refused = 0
-	if r.reachable.IsZero() {
-		r.reachable = now
+// observeConnection applies that the backend accepted a connection.
+func (r *readiness) observeConnection(now time.Time) {
+	r.consecutiveRefusals = 0
+	if r.reachableSince.IsZero() {
+		r.reachableSince = now
 	}
-	if !r.reports && r.state == membership.StateStarting {
+	if !r.hasHealthEndpoint && r.state == membership.StateStarting {
 		r.state = membership.StateReady
 	}
 }
 
 func (r *readiness) leaveStarting(now time.Time) {
-	tried := !r.reachable.IsZero() && now.Sub(r.reachable) >= trialAfter
-	if r.lastReport == report.StatusReady || tried {
+	trialDue := !r.reachableSince.IsZero() && now.Sub(r.reachableSince) >= unhealthyTrialDelay
+	if r.lastReport == report.StatusReady || trialDue {
 		r.state = membership.StateReady
 	}
 }
 
 func (r *readiness) leaveDraining(now time.Time) {
-	known := r.drainShown || now.Sub(r.drainedAt) >= drainTrust
-	if known && r.readyReports >= readyReportsAfterDrain {
+	mayLeave := r.drainReported || now.Sub(r.drainAnnouncedAt) >= drainAnnouncementValidity
+	if mayLeave && r.readyReports >= readyReportsAfterDrain {
 		r.state = membership.StateReady
-		r.drainShown = false
+		r.drainReported = false
 	}
 }
 
-// connectionRefused takes in that nothing listens at the back end's address.
-func (r *readiness) connectionRefused() {
-	r.refused++
-	if r.refused < refusedLimit {
+// observeRefusal applies that the backend refused a connection.
+func (r *readiness) observeRefusal() {
+	r.consecutiveRefusals++
+	if r.consecutiveRefusals < maxRefusals {
 		return
 	}
 	r.state = membership.StateStarting
-	r.reachable = time.Time{}
+	r.reachableSince = time.Time{}
 	r.lastReport = ""
-	r.drainShown = false
+	r.drainReported = false
 	r.readyReports = 0
 }
 
-// answered takes in that a request was answered, with a drain announced or not.
-func (r *readiness) answered(draining bool, now time.Time) {
-	r.connected(now)
+// observeResponse applies that a request was answered, and whether the response
+// announced a drain.
+func (r *readiness) observeResponse(draining bool, now time.Time) {
+	r.observeConnection(now)
 	r.lastSuccess = now
 	if draining {
 		r.state = membership.StateDraining
-		r.drainedAt = now
+		r.drainAnnouncedAt = now
 	}
 }
 
-// doubted reports whether the health report is bad and nothing speaks against it.
-func (r *readiness) doubted(now time.Time) bool {
+// degraded reports whether the last health report is bad and no request was answered
+// within successValidity.
+func (r *readiness) degraded(now time.Time) bool {
 	bad := r.lastReport == report.StatusFailing || r.lastReport == report.StatusStarting
-	trusted := !r.lastSuccess.IsZero() && now.Sub(r.lastSuccess) < successTrust
+	trusted := !r.lastSuccess.IsZero() && now.Sub(r.lastSuccess) < successValidity
 	return bad && !trusted
 }
--- a/internal/proxy/inbound/readiness_test.go
+++ b/internal/proxy/inbound/readiness_test.go
@@ -10,92 +10,92 @@
 	"github.com/winchhead/winchhead/internal/proxy/report"
 )
 
-// step is one event at a number of seconds since the start.
+// step is one event at a time in seconds since the start.
 type step struct {
 	at    int
 	event func(r *readiness, now time.Time)
 }
 
-func says(status report.Status) func(*readiness, time.Time) {
-	return func(r *readiness, now time.Time) { r.reported(status, now) }
+func healthReport(status report.Status) func(*readiness, time.Time) {
+	return func(r *readiness, now time.Time) { r.observeReport(status, now) }
 }
 
-func answers(draining bool) func(*readiness, time.Time) {
-	return func(r *readiness, now time.Time) { r.answered(draining, now) }
+func response(draining bool) func(*readiness, time.Time) {
+	return func(r *readiness, now time.Time) { r.observeResponse(draining, now) }
 }
 
-func refuses(r *readiness, _ time.Time) { r.connectionRefused() }
+func refusedConnection(r *readiness, _ time.Time) { r.observeRefusal() }
 
-func isSilent(r *readiness, now time.Time) { r.unreported(now) }
+func missingReport(r *readiness, now time.Time) { r.observeMissingReport(now) }
 
-func connects(r *readiness, now time.Time) { r.connected(now) }
+func acceptedConnection(r *readiness, now time.Time) { r.observeConnection(now) }
 
-// TestReadiness is the table of what reports and observations make of the state.
+// TestReadiness checks the state that results from reports and observations.
 func TestReadiness(t *testing.T) {
 	const starting, ready, draining = membership.StateStarting, membership.StateReady, membership.StateDraining
-	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	startTime := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, test := range []struct {
 		name     string
 		noHealth bool
 		steps    []step
 		state    membership.State
-		doubted  bool
+		degraded bool
 	}{
 		{"nothing known", false, nil, starting, false},
-		{"cold start", false, []step{{0, says(report.StatusStarting)}, {29, says(report.StatusStarting)}}, starting, true},
-		{"ready report", false, []step{{0, says(report.StatusStarting)}, {1, says(report.StatusReady)}}, ready, false},
-		{"connection without a health endpoint", true, []step{{0, connects}}, ready, false},
-		{"connection with one", false, []step{{0, connects}}, starting, false},
-		{"health lies failing from the start: tried in the end", false,
-			[]step{{0, says(report.StatusFailing)}, {30, says(report.StatusFailing)}}, ready, true},
-		{"health never answers from the start", false, []step{{0, connects}, {30, isSilent}}, ready, true},
-		{"bad report of a ready one", false, []step{{0, says(report.StatusReady)}, {1, says(report.StatusFailing)}}, ready, true},
-		{"silent health of a ready one", false, []step{{0, says(report.StatusReady)}, {1, isSilent}}, ready, true},
-		{"bad report against answered requests", false,
-			[]step{{0, says(report.StatusReady)}, {1, says(report.StatusFailing)}, {2, answers(false)}}, ready, false},
-		{"bad report after the last answer", false,
-			[]step{{0, says(report.StatusReady)}, {1, answers(false)}, {11, says(report.StatusFailing)}}, ready, true},
-		{"one refused connection", false, []step{{0, says(report.StatusReady)}, {1, refuses}, {1, refuses}}, ready, false},
-		{"refused with a success between", false,
-			[]step{{0, says(report.StatusReady)}, {1, refuses}, {1, refuses}, {1, answers(false)}, {1, refuses}}, ready, false},
-		{"down", false, []step{{0, says(report.StatusReady)}, {1, refuses}, {1, refuses}, {1, refuses}}, starting, false},
+		{"cold start", false, []step{{0, healthReport(report.StatusStarting)}, {29, healthReport(report.StatusStarting)}}, starting, true},
+		{"ready report", false, []step{{0, healthReport(report.StatusStarting)}, {1, healthReport(report.StatusReady)}}, ready, false},
+		{"connection without a health endpoint", true, []step{{0, acceptedConnection}}, ready, false},
+		{"connection with a health endpoint", false, []step{{0, acceptedConnection}}, starting, false},
+		{"health failing from the start: gets requests after the trial delay", false,
+			[]step{{0, healthReport(report.StatusFailing)}, {30, healthReport(report.StatusFailing)}}, ready, true},
+		{"health never answers from the start", false, []step{{0, acceptedConnection}, {30, missingReport}}, ready, true},
+		{"bad report of a ready backend", false, []step{{0, healthReport(report.StatusReady)}, {1, healthReport(report.StatusFailing)}}, ready, true},
+		{"missing report of a ready backend", false, []step{{0, healthReport(report.StatusReady)}, {1, missingReport}}, ready, true},
+		{"bad report, but a request was answered", false,
+			[]step{{0, healthReport(report.StatusReady)}, {1, healthReport(report.StatusFailing)}, {2, response(false)}}, ready, false},
+		{"bad report long after the last response", false,
+			[]step{{0, healthReport(report.StatusReady)}, {1, response(false)}, {11, healthReport(report.StatusFailing)}}, ready, true},
+		{"one refused connection", false, []step{{0, healthReport(report.StatusReady)}, {1, refusedConnection}, {1, refusedConnection}}, ready, false},
+		{"refusals with a success in between", false,
+			[]step{{0, healthReport(report.StatusReady)}, {1, refusedConnection}, {1, refusedConnection}, {1, response(false)}, {1, refusedConnection}}, ready, false},
+		{"down", false, []step{{0, healthReport(report.StatusReady)}, {1, refusedConnection}, {1, refusedConnection}, {1, refusedConnection}}, starting, false},
 		{"down, then restarted", false,
-			[]step{{0, says(report.StatusReady)}, {1, refuses}, {1, refuses}, {1, refuses}, {2, says(report.StatusReady)}}, ready, false},
-		{"drain by report", false, []step{{0, says(report.StatusReady)}, {1, says(report.StatusDraining)}}, draining, false},
-		{"drain by answer", false, []step{{0, says(report.StatusReady)}, {1, answers(true)}}, draining, false},
-		{"drain by answer, health lags", false, []step{{0, says(report.StatusReady)}, {1, answers(true)},
-			{2, says(report.StatusReady)}, {3, says(report.StatusReady)}, {4, answers(false)}}, draining, false},
+			[]step{{0, healthReport(report.StatusReady)}, {1, refusedConnection}, {1, refusedConnection}, {1, refusedConnection}, {2, healthReport(report.StatusReady)}}, ready, false},
+		{"drain by report", false, []step{{0, healthReport(report.StatusReady)}, {1, healthReport(report.StatusDraining)}}, draining, false},
+		{"drain by response", false, []step{{0, healthReport(report.StatusReady)}, {1, response(true)}}, draining, false},
+		{"drain by response, health reports late", false, []step{{0, healthReport(report.StatusReady)}, {1, response(true)},
+			{2, healthReport(report.StatusReady)}, {3, healthReport(report.StatusReady)}, {4, response(false)}}, draining, false},
 		{"drain shown by health, one ready report", false,
-			[]step{{0, says(report.StatusDraining)}, {1, says(report.StatusReady)}}, draining, false},
-		{"drain shown by health and taken back", false,
-			[]step{{0, answers(true)}, {1, says(report.StatusDraining)}, {2, says(report.StatusReady)}, {3, says(report.StatusReady)}}, ready, false},
-		{"drain by answer, restarted before health showed it", false, []step{{0, says(report.StatusReady)}, {1, answers(true)},
-			{2, says(report.StatusReady)}, {30, says(report.StatusReady)}}, draining, false},
-		{"drain by answer, restarted long ago", false, []step{{0, says(report.StatusReady)}, {1, answers(true)},
-			{2, says(report.StatusReady)}, {31, says(report.StatusReady)}}, ready, false},
-		{"drain by answer, announced again since", false, []step{{0, says(report.StatusReady)}, {1, answers(true)},
-			{2, says(report.StatusReady)}, {20, answers(true)}, {31, says(report.StatusReady)}}, draining, false},
-		{"drained, ended and restarted", false, []step{{0, answers(true)}, {1, refuses}, {1, refuses}, {1, refuses},
-			{2, says(report.StatusReady)}}, ready, false},
+			[]step{{0, healthReport(report.StatusDraining)}, {1, healthReport(report.StatusReady)}}, draining, false},
+		{"drain shown by health and ended", false,
+			[]step{{0, response(true)}, {1, healthReport(report.StatusDraining)}, {2, healthReport(report.StatusReady)}, {3, healthReport(report.StatusReady)}}, ready, false},
+		{"drain by response, restarted before health showed it", false, []step{{0, healthReport(report.StatusReady)}, {1, response(true)},
+			{2, healthReport(report.StatusReady)}, {30, healthReport(report.StatusReady)}}, draining, false},
+		{"drain by response, restarted long ago", false, []step{{0, healthReport(report.StatusReady)}, {1, response(true)},
+			{2, healthReport(report.StatusReady)}, {31, healthReport(report.StatusReady)}}, ready, false},
+		{"drain by response, announced again", false, []step{{0, healthReport(report.StatusReady)}, {1, response(true)},
+			{2, healthReport(report.StatusReady)}, {20, response(true)}, {31, healthReport(report.StatusReady)}}, draining, false},
+		{"drained, stopped and restarted", false, []step{{0, response(true)}, {1, refusedConnection}, {1, refusedConnection}, {1, refusedConnection},
+			{2, healthReport(report.StatusReady)}}, ready, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			r := newReadiness(!test.noHealth)
-			now := begin
+			now := startTime
 			for _, step := range test.steps {
-				now = begin.Add(time.Duration(step.at) * time.Second)
+				now = startTime.Add(time.Duration(step.at) * time.Second)
 				step.event(r, now)
 			}
 			c.Check(r.state, qt.Equals, test.state)
-			c.Check(r.doubted(now), qt.Equals, test.doubted)
+			c.Check(r.degraded(now), qt.Equals, test.degraded)
 		})
 	}
 }
 
-// TestArrival bounds when a request that is read now arrived.
+// TestArrival checks the earliest arrival time of a request that is read now.
 func TestArrival(t *testing.T) {
-	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	at := func(millis int) time.Time { return begin.Add(time.Duration(millis) * time.Millisecond) }
+	startTime := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	at := func(millis int) time.Time { return startTime.Add(time.Duration(millis) * time.Millisecond) }
 	for _, test := range []struct {
 		name    string
 		started bool
@@ -115,7 +115,7 @@
 			c := qt.New(t)
 			var detector pauseDetector
 			if test.started {
-				detector.start(begin)
+				detector.start(startTime)
 			}
 			for _, tick := range test.ticks {
 				detector.tick(at(tick))
--- a/internal/proxy/inbound/reports.go
+++ b/internal/proxy/inbound/reports.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// defaultHealthInterval is used when the settings give none.
+	// defaultHealthInterval applies when the settings have none.
 	defaultHealthInterval = time.Second
 	// reportTimeout bounds one read of a report.
 	reportTimeout = time.Second
@@ -25,13 +25,13 @@
 	maxReportBytes = 64 << 10
 )
 
-// errAsked marks the failure of a report after the back end took the connection.
-var errAsked = eris.New("asked without an answer")
+// errNoReport marks a failure to read a report after the request for it was sent.
+var errNoReport = eris.New("the backend sent no report in response to the request")
 
 func (p *Proxy) reportsHealth() bool { return p.settings.HealthPath != "" }
 
-// Run reads the back end's reports and watches for pauses of this process until
-// ctx ends. Without it the instance never becomes ready.
+// Run reads the backend's reports and watches for pauses of this process until ctx
+// ends. Without it the instance never becomes ready.
 func (p *Proxy) Run(ctx context.Context) {
 	watched := make(chan struct{})
 	p.pauses.start(time.Now())
@@ -77,7 +77,7 @@
 	}
 }
 
-// readHealth asks the health endpoint, or tries a connection when there is none.
+// readHealth reads the health endpoint, or opens a connection if there is none.
 func (p *Proxy) readHealth(ctx context.Context) {
 	if !p.reportsHealth() {
 		p.probe(ctx)
@@ -91,11 +91,11 @@
 		p.observeReportFailure(err)
 		return
 	}
-	p.readiness.observe(func(r *readiness, now time.Time) { r.reported(statusOf(response, body), now) })
+	p.readiness.observe(func(r *readiness, now time.Time) { r.observeReport(statusOf(response, body), now) })
 }
 
-// statusOf reads a health report. Its status code decides where the body says
-// nothing, and a bad code outweighs a good body.
+// statusOf returns the status of a health report. The status code decides if the body
+// has none, and a bad code outweighs a good body.
 func statusOf(response *http.Response, body []byte) report.Status {
 	if response.Header.Get(report.HeaderDraining) == report.HeaderValue {
 		return report.StatusDraining
@@ -119,7 +119,7 @@
 	}
 }
 
-// probe opens and closes a connection.
+// probe opens and closes a connection to the backend.
 func (p *Proxy) probe(ctx context.Context) {
 	conn, err := p.backend.dial(ctx, "tcp", "")
 	if ctx.Err() == nil && err != nil {
@@ -129,25 +129,25 @@
 		return
 	}
 	_ = conn.Close()
-	p.readiness.observe(func(r *readiness, now time.Time) { r.connected(now) })
+	p.readiness.observe(func(r *readiness, now time.Time) { r.observeConnection(now) })
 }
 
 func (p *Proxy) observeReportFailure(err error) {
 	p.readiness.observe(func(r *readiness, now time.Time) {
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
-			r.connectionRefused()
-		case errors.Is(err, errAsked):
-			r.connected(now)
-			r.unreported(now)
+			r.observeRefusal()
+		case errors.Is(err, errNoReport):
+			r.observeConnection(now)
+			r.observeMissingReport(now)
 		default:
-			r.unreported(now)
+			r.observeMissingReport(now)
 		}
 	})
 }
 
-// readLoad keeps the back end's own load report for operators. It decides nothing:
-// it may lag or lie, and the proxy counts for itself.
+// readLoad exports the backend's load report as a metric for operators. It affects no
+// decision: it may be late or wrong, and the proxy has its own count.
 func (p *Proxy) readLoad(ctx context.Context) {
 	if p.settings.LoadPath == "" {
 		return
@@ -163,7 +163,7 @@
 	p.metrics.reportedLoad.Set(load.Ratio())
 }
 
-// readReport reads one report over a connection that is kept free for that.
+// readReport reads one report over a connection that is reserved for reports.
 func (p *Proxy) readReport(ctx context.Context, path string) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -180,7 +180,7 @@
 	response, err := p.backend.transport.RoundTrip(request)
 	if err != nil {
 		if send.Seal() {
-			err = errors.Join(errAsked, err)
+			err = errors.Join(errNoReport, err)
 		}
 		return nil, nil, eris.Wrap(err, "report")
 	}
@@ -189,18 +189,18 @@
 	return response, body, eris.Wrap(err, "report")
 }
 
-// observeAnswer takes in what the header of an answer tells about the back end,
-// and removes it from the header.
-func (p *Proxy) observeAnswer(header http.Header) {
+// observeResponseHeader applies what a response header tells about the backend, and
+// removes those headers.
+func (p *Proxy) observeResponseHeader(header http.Header) {
 	draining := header.Get(report.HeaderDraining) == report.HeaderValue
 	header.Del(report.HeaderDraining)
 	header.Del(report.HeaderShed)
-	p.readiness.observe(func(r *readiness, now time.Time) { r.answered(draining, now) })
+	p.readiness.observe(func(r *readiness, now time.Time) { r.observeResponse(draining, now) })
 }
 
-// observeConnectFailure takes in that a request could not be sent.
+// observeConnectFailure applies that a request could not be sent.
 func (p *Proxy) observeConnectFailure(err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		p.readiness.observe(func(r *readiness, _ time.Time) { r.connectionRefused() })
+		p.readiness.observe(func(r *readiness, _ time.Time) { r.observeRefusal() })
 	}
 }
--- a/internal/proxy/inbound/rig_test.go
+++ b/internal/proxy/inbound/rig_test.go
@@ -29,7 +29,8 @@
 	testTarget  = "reservas-1/7"
 )
 
-// rig is a proxy on loopback before an emulated back end, and a sender.
+// rig runs a proxy on loopback in front of an emulated backend, and a client that
+// sends to it.
 type rig struct {
 	*qt.C
 	store   snapshot.Store
@@ -43,7 +44,7 @@
 func (r *rig) Current() *snapshot.Snapshot     { return r.store.Current() }
 func (r *rig) SetState(state membership.State) { r.states <- state }
 
-// plainSettings has room for the requests of most tests and no reports.
+// plainSettings has limits that most tests do not reach, and no health endpoint.
 func plainSettings() settings.Inbound {
 	return settings.Inbound{
 		Service: testService, Slots: 20, Connections: 130, MaxQueued: 40,
@@ -51,19 +52,19 @@
 	}
 }
 
-// newRig starts a proxy with a configuration before a started back end.
+// newRig starts a proxy in front of an emulated backend.
 func newRig(t *testing.T, options backend.Options, set settings.Inbound) *rig {
 	emulated := backend.New(options)
 	c := qt.New(t)
 	c.Assert(emulated.Start("127.0.0.1:0"), qt.IsNil)
-	r := newRigBefore(t, emulated.Address(), set)
+	r := newRigForAddress(t, emulated.Address(), set)
 	r.backend = emulated
 	t.Cleanup(emulated.Kill)
 	return r
 }
 
-// newRigBefore starts a proxy before a back end at that address.
-func newRigBefore(t testing.TB, address string, set settings.Inbound) *rig {
+// newRigForAddress starts a proxy in front of the backend at an address.
+func newRigForAddress(t testing.TB, address string, set settings.Inbound) *rig {
 	r := &rig{C: qt.New(t), states: make(chan membership.State, 100)}
 	set.Backend = address
 	proxy, err := New(Options{
@@ -117,7 +118,7 @@
 	})
 }
 
-// awaitState waits until that state is published.
+// awaitState waits until the state is published.
 func (r *rig) awaitState(state membership.State) {
 	for published := range r.states {
 		if published == state {
@@ -126,7 +127,8 @@
 	}
 }
 
-// request is what a sender sends; pairs are names and values of headers.
+// request returns a request as a node sends it; pairs are header names and values,
+// where an empty value removes the header.
 func (r *rig) request(ctx context.Context, method, path, body string, pairs ...string) *http.Request {
 	var reader io.Reader
 	if body != "" {
@@ -147,31 +149,31 @@
 	return request
 }
 
-// answer is a whole answer, or the error that cut it.
-type answer struct {
+// clientResponse is a response with its body, or the error that cut it.
+type clientResponse struct {
 	*http.Response
 	body string
 	err  error
 }
 
-func (r *rig) do(request *http.Request) answer {
+func (r *rig) do(request *http.Request) clientResponse {
 	response, err := r.client.Do(request)
 	if err != nil {
-		return answer{err: err}
+		return clientResponse{err: err}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answer{Response: response, body: string(body), err: err}
+	return clientResponse{Response: response, body: string(body), err: err}
 }
 
-// send posts a numbered booking and reads the answer.
-func (r *rig) send(pairs ...string) answer {
+// send posts a request with number 1 and reads the response.
+func (r *rig) send(pairs ...string) clientResponse {
 	return r.do(r.request(r.Context(), http.MethodPost, backend.PathEcho, "a booking",
 		append([]string{backend.HeaderRequest, "1"}, pairs...)...))
 }
 
-// checkProblem checks an answer that the proxy made.
-func (r *rig) checkProblem(got answer, status int, result outcome.Outcome, reason outcome.Reason) {
+// checkProblem checks a response that the proxy itself made.
+func (r *rig) checkProblem(got clientResponse, status int, result outcome.Outcome, reason outcome.Reason) {
 	r.Assert(got.err, qt.IsNil)
 	r.Check(got.StatusCode, qt.Equals, status)
 	r.Check(got.Header.Get(outcome.HeaderOutcome), qt.Equals, string(result))
@@ -179,7 +181,7 @@
 	r.Check(got.Header.Get(outcome.HeaderLoad), qt.Not(qt.Equals), "")
 }
 
-// eventually waits for a state of another process's stand-in that has no event.
+// eventually polls for a state that has no event to wait for.
 func (r *rig) eventually(reached func() bool) {
 	r.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !reached(); {
--- a/internal/proxy/inbound/session_test.go
+++ b/internal/proxy/inbound/session_test.go
@@ -19,8 +19,8 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// oneSlot leaves room for one request and nine sessions.
-func oneSlot(t *testing.T) *rig {
+// newOneSlotRig has capacity for one request and nine sessions.
+func newOneSlotRig(t *testing.T) *rig {
 	set := plainSettings()
 	set.Slots, set.Connections = 1, 10
 	return newRig(t, backend.Options{Slots: 1, Connections: 10}, set)
@@ -33,7 +33,7 @@
 	return response
 }
 
-// upgrade opens a session that echoes.
+// upgrade opens a session with a backend that echoes.
 func (r *rig) upgrade() io.ReadWriteCloser {
 	response := r.open(r.request(r.Context(), http.MethodGet, backend.PathUpgrade, "",
 		"Connection", "Upgrade", "Upgrade", backend.UpgradeProtocol))
@@ -50,8 +50,8 @@
 	r.Check(string(echoed), qt.Equals, text)
 }
 
-func TestEventsArriveOneByOneAndHoldNoSlot(t *testing.T) {
-	r := oneSlot(t)
+func TestEventStreamHoldsNoSlot(t *testing.T) {
+	r := newOneSlotRig(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	response := r.open(r.request(ctx, http.MethodGet, backend.PathEvents+"?count=2&interval-ms=0", ""))
@@ -70,10 +70,9 @@
 	r.eventually(func() bool { return r.backend.Statistics().SessionsNow == 0 })
 }
 
-// TestSessionOutlivesTheTimeOfItsRequest checks that a deadline ends with the
-// answer's header.
-func TestSessionOutlivesTheTimeOfItsRequest(t *testing.T) {
-	r := oneSlot(t)
+// A deadline applies to a session only until the response header.
+func TestSessionOutlivesRequestDeadline(t *testing.T) {
+	r := newOneSlotRig(t)
 	request := r.request(t.Context(), http.MethodGet, backend.PathUpgrade, "", "Connection", "Upgrade",
 		"Upgrade", backend.UpgradeProtocol, outcome.HeaderRemaining, "300")
 	sent := time.Now()
@@ -83,8 +82,8 @@
 	r.checkEcho(session, "after")
 }
 
-func TestUpgradePassesBothWaysAndEndsInOrder(t *testing.T) {
-	r := oneSlot(t)
+func TestUpgradeRelaysAndHalfCloses(t *testing.T) {
+	r := newOneSlotRig(t)
 	session := r.upgrade()
 	r.checkEcho(session, "setpoint")
 	r.Check(r.send().StatusCode, qt.Equals, 200)
@@ -96,9 +95,9 @@
 	r.eventually(func() bool { return r.backend.Statistics().SessionsNow == 0 })
 }
 
-// TestSessionsLeaveConnectionsToRequests opens as many sessions as there is room
-// for: one more is refused as not run, and a request still runs.
-func TestSessionsLeaveConnectionsToRequests(t *testing.T) {
+// With as many sessions open as there are connections for, one more is refused as not
+// run, and a request still runs.
+func TestSessionsLeaveConnectionsForRequests(t *testing.T) {
 	set := plainSettings()
 	set.Slots, set.Connections = 1, 4 // one for reports, one for the slot
 	r := newRig(t, backend.Options{Slots: 1, Connections: 4}, set)
@@ -112,9 +111,9 @@
 	r.Check(r.backend.Statistics().ConnectionViolations, qt.Equals, int64(0))
 }
 
-// TestLongBodiesPassWhole streams both ways at once and checks each byte.
-func TestLongBodiesPassWhole(t *testing.T) {
-	r := oneSlot(t)
+// TestLongBodiesPassUnchanged checks each byte of long bodies in both directions.
+func TestLongBodiesPassUnchanged(t *testing.T) {
+	r := newOneSlotRig(t)
 	got := r.do(r.request(t.Context(), http.MethodGet, backend.PathDownload+"?bytes=3000000", "", backend.HeaderRequest, "9"))
 	r.Assert(got.err, qt.IsNil)
 	r.Check(got.body == string(backend.Pattern("9", 3_000_000)), qt.IsTrue)
@@ -124,12 +123,14 @@
 	r.Check(got.body == long, qt.IsTrue)
 }
 
-// passing is a back end with what the emulated one does not do.
-func passing(c *qt.C, refuseBody bool) http.Handler {
+// passThroughBackend is a backend for what the emulated one does not do: 1xx
+// responses, trailers, forged internal headers and responses before the end of the
+// request body.
+func passThroughBackend(c *qt.C, refuseBody bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for name := range r.Header {
 			if strings.HasPrefix(name, outcome.InternalPrefix) {
-				c.Errorf("header %s reached the back end", name)
+				c.Errorf("header %s reached the backend", name)
 			}
 		}
 		c.Check(r.Header.Get("Authorization"), qt.Equals, "Bearer s3cret")
@@ -156,12 +157,13 @@
 	})
 }
 
-// TestMessagesPassThrough checks headers, 1xx answers, trailers both ways, and that
-// the first half of an answer arrives before the second half of the request.
+// TestMessagesPassThrough checks headers, 1xx responses, trailers in both directions,
+// and that the first half of a response arrives before the second half of the request
+// is sent.
 func TestMessagesPassThrough(t *testing.T) {
-	server := httptest.NewServer(passing(qt.New(t), false))
+	server := httptest.NewServer(passThroughBackend(qt.New(t), false))
 	t.Cleanup(server.Close)
-	r := newRigBefore(t, server.Listener.Addr().String(), plainSettings())
+	r := newRigForAddress(t, server.Listener.Addr().String(), plainSettings())
 	reader, writer := io.Pipe()
 	request := r.request(t.Context(), http.MethodPost, "/", "", "Authorization", "Bearer s3cret",
 		"Connection", "X-Hop", "X-Hop", "secret of one hop")
@@ -192,11 +194,11 @@
 	r.Check(response.Trailer, qt.DeepEquals, http.Header{"Checksum": {"c"}, "Late": {"s"}})
 }
 
-// TestBodyWaitsForContinue has a back end that refuses a body by its header alone.
+// A backend that refuses a request by its header must not be sent the body.
 func TestBodyWaitsForContinue(t *testing.T) {
-	server := httptest.NewServer(passing(qt.New(t), true))
+	server := httptest.NewServer(passThroughBackend(qt.New(t), true))
 	t.Cleanup(server.Close)
-	r := newRigBefore(t, server.Listener.Addr().String(), plainSettings())
+	r := newRigForAddress(t, server.Listener.Addr().String(), plainSettings())
 	r.client.Transport.(*http.Transport).ExpectContinueTimeout = time.Hour
 	request := r.request(t.Context(), http.MethodPost, "/", "a long body", "Expect", "100-continue", "Authorization", "Bearer s3cret")
 	read := false
--- a/internal/proxy/inbound/unread_test.go
+++ b/internal/proxy/inbound/unread_test.go
@@ -14,10 +14,10 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// A refusal before the body was read ends the connection: nothing that follows on
-// it runs. With the body's end met after the handler, net/http would read beside
-// the next request and end the process in a panic.
-func TestRefusalBeforeTheBodyEndsTheConnection(t *testing.T) {
+// A refusal before the body was read must close the connection, and no later request
+// on it may run. If net/http reached the end of the body after the handler returned,
+// it would read concurrently with the next request and end the process in a panic.
+func TestRefusalBeforeBodyClosesConnection(t *testing.T) {
 	r := newRig(t, backend.Options{}, plainSettings())
 	conn, err := net.Dial("tcp", r.address)
 	r.Assert(err, qt.IsNil)
