--- a/internal/proxy/claim/attempt.go
+++ b/internal/proxy/claim/attempt.go
@@ -8,29 +8,29 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// attempt is the claim of one request.
+// attempt is the claim of one request's key.
 type attempt struct {
 	memory  *Memory
 	request wire.ClaimRequest
 	set     replicaSet
 	tally   *tally
-	limit   time.Duration
+	timeout time.Duration
 }
 
-// answer is what came of a question to a replica; reply is nil without one.
-type answer struct {
+// replicaReply is the reply of a replica; reply is nil if it did not answer.
+type replicaReply struct {
 	from  address
 	reply *wire.ClaimReply
 }
 
-// run claims the key. Unless it won, the key is released again.
+// run claims the key. Unless the claim is won, the key is released again.
 func (a *attempt) run(ctx context.Context) result {
-	ctx, cancel := context.WithTimeout(ctx, a.limit)
+	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
 	if a.tally.awaited >= a.tally.needed {
 		a.claim(ctx)
 	} else {
-		a.tally.awaited = 0 // too few can be asked
+		a.tally.awaited = 0 // fewer replicas are known than are needed
 	}
 	outcome := a.tally.result()
 	if outcome == won {
@@ -43,45 +43,46 @@
 	return outcome
 }
 
-// claim asks all replicas at once. Those not heard when the claim is won still get
-// the request, as each one more that knows the key may be lost later.
+// claim asks all replicas at once. Replicas that have not replied when the claim is
+// won still get the request: each further replica that knows the key makes up for one
+// that may be lost later.
 func (a *attempt) claim(ctx context.Context) {
 	answers := a.askAll(a.set.replicas, a.request)
 	for a.tally.result() == pending {
 		select {
 		case received := <-answers:
-			a.tally.answered(received.from, received.reply)
+			a.tally.recordReply(received.from, received.reply)
 		case <-ctx.Done():
-			a.tally.awaited = 0 // the others count as not reached
+			a.tally.awaited = 0 // the remaining replicas count as unreachable
 		}
 	}
 }
 
-// askAll sends a request to replicas; each gives one answer within the limit.
-func (a *attempt) askAll(replicas []address, request wire.ClaimRequest) <-chan answer {
-	answers := make(chan answer, len(replicas))
+// askAll sends a request to replicas; each yields one reply within the timeout.
+func (a *attempt) askAll(replicas []address, request wire.ClaimRequest) <-chan replicaReply {
+	answers := make(chan replicaReply, len(replicas))
 	for _, to := range replicas {
-		a.memory.pool.task(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, a.limit)
+		a.memory.pool.startTask(func(ctx context.Context) {
+			ctx, cancel := context.WithTimeout(ctx, a.timeout)
 			defer cancel()
 			reply, err := a.memory.ask(ctx, to, request)
 			if err != nil {
 				reply = nil
 			}
-			answers <- answer{to, reply}
+			answers <- replicaReply{to, reply}
 		})
 	}
 	return answers
 }
 
-// othersReleased reports whether the key is free again at all replicas where
-// another holder had it. That holder did not run then: a claim that won is
-// released only when its request did not run.
+// othersReleased reports whether the key is free again at all replicas where another
+// holder had it. The request of that holder did not run then: a claim that was won is
+// released only if its request did not run.
 func (a *attempt) othersReleased(ctx context.Context) bool {
 	query := a.request
 	query.Action = wire.ClaimActionQuery
-	for _, pause := range queryPauses {
-		if wait.For(ctx, pause) != nil {
+	for _, delay := range queryDelays {
+		if wait.For(ctx, delay) != nil {
 			return false
 		}
 		answers := a.askAll(a.tally.takenAt, query)
@@ -92,7 +93,7 @@
 	return false
 }
 
-func (a *attempt) allFree(ctx context.Context, answers <-chan answer) bool {
+func (a *attempt) allFree(ctx context.Context, answers <-chan replicaReply) bool {
 	for range a.tally.takenAt {
 		select {
 		case received := <-answers:
@@ -106,19 +107,19 @@
 	return true
 }
 
-// release frees the key at all replicas, in the background: also where no grant
-// was heard of, as it may be on its way.
+// release frees the key at all replicas, in the background. This includes replicas
+// that did not grant it so far, as the grant may be on its way.
 func (a *attempt) release() {
 	request := a.request
 	request.Action = wire.ClaimActionRelease
 	for _, to := range a.set.replicas {
-		a.memory.pool.task(func(ctx context.Context) { a.memory.release(ctx, to, request) })
+		a.memory.pool.startTask(func(ctx context.Context) { a.memory.release(ctx, to, request) })
 	}
 }
 
 func (m *Memory) release(ctx context.Context, to address, request wire.ClaimRequest) {
-	for _, pause := range releasePauses {
-		if wait.For(ctx, pause) != nil {
+	for _, delay := range releaseDelays {
+		if wait.For(ctx, delay) != nil {
 			return
 		}
 		limited, cancel := context.WithTimeout(ctx, releaseTimeout)
--- a/internal/proxy/claim/claim.go
+++ b/internal/proxy/claim/claim.go
@@ -1,17 +1,17 @@
-// Package claim makes a request with an Idempotency-Key run once also when the
-// node that remembers it dies: before the request runs, its node claims the key at
-// the key's replicas and needs nearly all of them. Memory is a repeat.Memory that
-// does so; Replica grants keys to the nodes of the fleet.
+// Package claim makes a request with an Idempotency-Key run at most once even if a
+// node that remembers it fails: before the request runs, its node claims the key at the
+// key's replicas, and nearly all of them must grant it. Memory is a repeat.Memory that
+// claims keys; Replica grants keys to the nodes of the fleet.
 //
-// # What is promised
+// # Guarantees
 //
-// A key's replicas are the first 5 nodes by rendezvous hash; a claim needs 4 of
-// them. So one replica may be unreachable when a key is claimed, and two that
-// granted it may be lost or replaced afterwards within the time of the memory:
-// a second claim needs 4 of 5 too, and at least 2 still know the first, so that no
-// more than 3 can grant it. In general, of N replicas g granted the first claim
-// and a second needs n: it fails while N - (g - lost) < n. A small fleet has fewer
-// replicas. With 3 or 4 all but one must grant, with fewer all:
+// A key's replicas are the first 5 nodes by rendezvous hashing; a claim needs 4
+// grants. So one replica may be unreachable when a key is claimed, and two that
+// granted it may be lost or replaced while the key is remembered: a second claim needs
+// 4 of 5 too, and at least 2 replicas still know the first claim, so that at most 3
+// can grant the second. In general, if g of N replicas granted the first claim and the
+// second needs n, the second fails while N - (g - lost) < n. A small fleet has fewer
+// replicas. With 3 or 4, all but one must grant; with fewer, all:
 //
 //	replicas  needed  losses survived   if all granted
 //	5         4       2                 3
@@ -20,14 +20,14 @@
 //	2         2       1                 1
 //	1         1       0                 0
 //
-// It is not promised when more replicas than that are lost within the time of the
-// memory, where a replica that only one of two claimers has in its set counts as
-// lost. Members that only the platform's list names count in the size of the set
-// but cannot grant, so that a node that has just started and knows few others
-// claims nothing.
+// There is no guarantee if more replicas than that are lost while the key is
+// remembered. A replica that is in the set of only one of two claimers counts as lost.
+// Members that are known only from the platform's list count in the size of the set
+// but cannot grant, so that a node that has just started and knows few others wins no
+// claim.
 //
-// A claim that cannot win is released at all replicas. A release that is lost
-// leaves a key blocked, never free.
+// A claim that cannot win is released at all replicas. A release that is lost leaves a
+// key blocked, never free.
 package claim
 
 import (
@@ -43,23 +43,23 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// smallestQuorum is the size from which one replica may be missing.
-const smallestQuorum = 3
+// minSizeToMissOne is the smallest set of which one replica may be missing.
+const minSizeToMissOne = 3
 
-// address is where a replica is asked.
+// address identifies a replica and where it is reached.
 type address struct {
 	node membership.NodeID
 	peer string // IP:port
 }
 
-// replicaSet is who remembers a key.
+// replicaSet holds the replicas of a key.
 type replicaSet struct {
 	replicas []address
-	needed   int // grants
+	needed   int // number of grants that a claim needs
 }
 
-// replicasOf returns the first nodes of the view by rendezvous hash. Suspected and
-// draining ones count, so that the set is stable.
+// replicasOf returns the first nodes of the view by rendezvous hashing. Suspected and
+// draining nodes are included, so that the set is stable.
 func replicasOf(key wire.ClaimKey, view *membership.View, count int) replicaSet {
 	type ranked struct {
 		address
@@ -76,7 +76,7 @@
 	slices.SortFunc(candidates, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.node, b.node))
 	})
-	set := replicaSet{needed: needed(min(count, view.Len()))}
+	set := replicaSet{needed: quorumSize(min(count, view.Len()))}
 	for _, candidate := range candidates[:min(count, len(candidates))] {
 		set.replicas = append(set.replicas, candidate.address)
 	}
@@ -91,15 +91,15 @@
 	return digest.Sum64()
 }
 
-// needed returns how many grants a claim needs of a set of that size.
-func needed(size int) int {
-	if size >= smallestQuorum {
+// quorumSize returns how many grants a claim needs from a set of that size.
+func quorumSize(size int) int {
+	if size >= minSizeToMissOne {
 		return size - 1
 	}
 	return max(size, 1)
 }
 
-// keyOf hashes a key with its route.
+// keyOf hashes a key together with its route.
 func keyOf(key repeat.Key) wire.ClaimKey {
 	text := binary.AppendUvarint(nil, uint64(len(key.Route)))
 	text = append(text, key.Route...)
--- a/internal/proxy/claim/link.go
+++ b/internal/proxy/claim/link.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// maxInFlight bounds the requests that wait on one link.
+	// maxInFlight bounds the requests on one link that wait for a reply.
 	maxInFlight = 256
 	// dialTimeout bounds the opening of a link.
 	dialTimeout = time.Second
-	// idleTimeout ends a link that is not used.
+	// idleTimeout closes a link that is unused.
 	idleTimeout = time.Minute
-	// silenceTimeout is how long a peer may leave requests without any reply until
-	// the next request gets a new link.
-	silenceTimeout = 3 * time.Second
+	// unresponsiveTimeout is how long requests may wait without any reply from the
+	// replica before the next request opens a new link.
+	unresponsiveTimeout = 3 * time.Second
 )
 
 var (
-	errLinkEnded = errors.New("the link to the replica ended")
-	errLinkFull  = errors.New("too many requests wait for the replica")
+	errLinkEnded = errors.New("the connection to the replica was closed")
+	errLinkFull  = errors.New("too many requests are waiting for the replica")
 )
 
 // dialer opens a stream to a peer address (IP:port).
 type dialer func(ctx context.Context, peer string) (Stream, error)
 
-// link is one stream to a replica with the requests that wait for their reply.
+// link is one stream to a replica with its requests that wait for a reply.
 type link struct {
 	outgoing chan *wire.ClaimRequest
-	ended    chan struct{} // closed when no reply comes any more
-
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan *wire.ClaimReply
-	// silentSince is when the first request after the last reply was sent; zero:
-	// all is answered.
-	silentSince time.Time
+	ended    chan struct{} // closed when no more replies arrive
+
+	mu         sync.Mutex
+	lastNumber uint64
+	waiting    map[uint64]chan *wire.ClaimReply
+	// unansweredSince is when the first request after the last reply was sent; zero if
+	// no request waits for a reply.
+	unansweredSince time.Time
 }
 
 func newLink() *link {
@@ -59,10 +59,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silentSince.IsZero() || now.Sub(l.silentSince) < silenceTimeout
+	return l.unansweredSince.IsZero() || now.Sub(l.unansweredSince) < unresponsiveTimeout
 }
 
-// ask sends a copy of the request under an own number and waits for its reply.
+// ask sends a copy of the request under a number of this link and waits for its reply.
 func (l *link) ask(ctx context.Context, request wire.ClaimRequest) (*wire.ClaimReply, error) {
 	reply, err := l.send(&request)
 	if err != nil {
@@ -85,8 +85,8 @@
 	if len(l.waiting) >= maxInFlight {
 		return nil, errLinkFull
 	}
-	l.last++
-	request.Number = l.last
+	l.lastNumber++
+	request.Number = l.lastNumber
 	select {
 	case l.outgoing <- request:
 	default:
@@ -94,8 +94,8 @@
 	}
 	reply := make(chan *wire.ClaimReply, 1)
 	l.waiting[request.Number] = reply
-	if l.silentSince.IsZero() {
-		l.silentSince = time.Now()
+	if l.unansweredSince.IsZero() {
+		l.unansweredSince = time.Now()
 	}
 	return reply, nil
 }
@@ -106,8 +106,8 @@
 	delete(l.waiting, number)
 }
 
-// run opens the stream and carries requests and replies until either side ends or
-// ctx does.
+// run opens the stream and carries requests and replies until either side closes it or
+// ctx ends.
 func (l *link) run(ctx context.Context, dial dialer, peer string) {
 	defer close(l.ended)
 	dialContext, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -164,12 +164,12 @@
 func (l *link) deliver(reply *wire.ClaimReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silentSince = time.Time{}
+	l.unansweredSince = time.Time{}
 	if waiting, ok := l.waiting[reply.Number]; ok {
 		waiting <- reply
 		delete(l.waiting, reply.Number)
 	}
 	if len(l.waiting) > 0 {
-		l.silentSince = time.Now()
+		l.unansweredSince = time.Now()
 	}
 }
--- a/internal/proxy/claim/memory.go
+++ b/internal/proxy/claim/memory.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	// claimShare is the part of a request's remaining time that its claim may take.
-	claimShare = 4
-	// longestClaim bounds the time of a claim.
-	longestClaim = time.Second
-	// defaultRemaining is the time of a request whose context has no deadline.
+	// claimTimeDivisor limits a claim to this fraction (1/4) of its request's
+	// remaining time.
+	claimTimeDivisor = 4
+	// maxClaimTimeout bounds the time of a claim.
+	maxClaimTimeout = time.Second
+	// defaultRemaining is the remaining time of a request whose context has no
+	// deadline.
 	defaultRemaining = 10 * time.Second
 	// releaseTimeout bounds one attempt to release a key at a replica.
 	releaseTimeout = time.Second
 )
 
-// queryPauses are the waits before each question whether another holder that was
-// met has released the key.
-var queryPauses = [...]time.Duration{10 * time.Millisecond, 40 * time.Millisecond, 150 * time.Millisecond}
+// queryDelays are the delays before each query whether a competing holder has released
+// the key.
+var queryDelays = [...]time.Duration{10 * time.Millisecond, 40 * time.Millisecond, 150 * time.Millisecond}
 
-// releasePauses are the waits before each attempt to release a key at a replica.
-var releasePauses = [...]time.Duration{0, 100 * time.Millisecond, time.Second}
+// releaseDelays are the delays before each attempt to release a key at a replica.
+var releaseDelays = [...]time.Duration{0, 100 * time.Millisecond, time.Second}
 
-// Options are what a Memory is made from. All but Registerer are required.
+// Options configure a Memory. All but Registerer are required.
 type Options struct {
-	// Local remembers keys in this process, with the answers.
+	// Local remembers keys and their responses in this process.
 	Local repeat.Memory
-	// Self names this process.
+	// Self identifies this process.
 	Self func() (membership.NodeID, membership.Incarnation)
 	View func() *membership.View
-	// Replica is this node's own, asked without a connection.
+	// Replica is this node's own replica, which is called without a connection.
 	Replica *Replica
 	// Dial opens a stream to a peer address (IP:port).
 	Dial func(ctx context.Context, peer string) (Stream, error)
 	// Replicas is how many nodes remember a key; at least 1.
 	Replicas int
-	// Lifetime is how long a key is remembered after the time of its request.
+	// Lifetime is how long a key is remembered after its request's deadline.
 	Lifetime   time.Duration
 	Registerer prometheus.Registerer
 }
 
-// Memory is a repeat.Memory that claims each first request's key at the key's
-// replicas before it runs.
+// Memory is a repeat.Memory that claims the key of a first request at the key's
+// replicas before the request runs.
 type Memory struct {
-	options Options
-	pool    *pool
-	metrics *metrics
-	last    atomic.Uint64 // number of the last claim
+	options    Options
+	pool       *pool
+	metrics    *metrics
+	lastNumber atomic.Uint64 // number of the last claim
 }
 
-// NewMemory returns a Memory, or an error when its metrics cannot be registered.
-// It must be closed.
+// NewMemory returns a Memory, or an error if its metrics cannot be registered. The
+// caller must close it.
 func NewMemory(options Options) (*Memory, error) {
 	created := &Memory{options: options, pool: newPool(options.Dial)}
 	var err error
@@ -66,20 +68,20 @@
 	return created, err
 }
 
-// Close drops releases on their way and closes all connections.
+// Close drops pending releases and closes all connections.
 func (m *Memory) Close() { m.pool.close() }
 
-// Begin implements repeat.Memory. The error is repeat.ErrNoQuorum when too few
-// replicas granted the key, or when two claims met and neither won.
+// Begin implements repeat.Memory. The error is repeat.ErrNoQuorum if too few replicas
+// granted the key, or if two claims competed and neither won.
 func (m *Memory) Begin(ctx context.Context, key repeat.Key, fingerprint repeat.Fingerprint) (repeat.Claim, error) {
 	local, err := m.options.Local.Begin(ctx, key, fingerprint)
 	if err != nil || local.Verdict != repeat.First {
 		return local, err
 	}
-	begun := time.Now()
+	startTime := time.Now()
 	attempt := m.newAttempt(ctx, key, fingerprint)
 	outcome := attempt.run(ctx)
-	m.metrics.ended(outcome, time.Since(begun))
+	m.metrics.ended(outcome, time.Since(startTime))
 	if outcome == won {
 		return repeat.Claim{Verdict: repeat.First, Run: &claimedRun{Run: local.Run, attempt: attempt}}, nil
 	}
@@ -96,7 +98,7 @@
 	}
 }
 
-// claimedRun is the right to run a request whose key was claimed.
+// claimedRun is the permission to run a request whose key was claimed.
 type claimedRun struct {
 	repeat.Run
 	attempt *attempt
@@ -124,7 +126,7 @@
 		Action:      wire.ClaimActionClaim,
 		Key:         keyOf(key),
 		Fingerprint: wire.ClaimFingerprint(fingerprint),
-		Holder:      wire.ClaimHolder{Node: node, Incarnation: incarnation, Number: m.last.Add(1)},
+		Holder:      wire.ClaimHolder{Node: node, Incarnation: incarnation, Number: m.lastNumber.Add(1)},
 		RunsFor:     remaining.Milliseconds(),
 		Hold:        (remaining + m.options.Lifetime).Milliseconds(),
 	}
@@ -134,11 +136,11 @@
 		request: request,
 		set:     set,
 		tally:   newTally(set),
-		limit:   min(remaining/claimShare, longestClaim),
+		timeout: min(remaining/claimTimeDivisor, maxClaimTimeout),
 	}
 }
 
-// ask asks a replica, the own one without a connection.
+// ask sends a request to a replica, or calls this node's own replica directly.
 func (m *Memory) ask(ctx context.Context, to address, request wire.ClaimRequest) (*wire.ClaimReply, error) {
 	if to.node == request.Holder.Node {
 		return m.options.Replica.handle(&request), nil
--- a/internal/proxy/claim/memory_test.go
+++ b/internal/proxy/claim/memory_test.go
@@ -20,21 +20,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fleet is a number of nodes with streams in memory between them.
+// fleet is a set of nodes connected by in-memory streams.
 type fleet struct {
 	*qt.C
 	view *membership.View
 
 	mu       sync.Mutex
 	replicas map[string]*Replica // by peer address; nil: unreachable
-	silent   map[string]bool     // takes requests, replies to none
+	silent   map[string]bool     // accepts requests but does not reply
 	streams  map[string][]*pipe
 }
 
-// pipe is one end of a stream.
+// pipe is one end of an in-memory stream.
 type pipe struct {
 	in, out chan wire.Message
-	ended   chan struct{} // of both ends
+	ended   chan struct{} // shared by both ends
 	once    *sync.Once
 }
 
@@ -68,14 +68,14 @@
 		name := strconv.Itoa(number)
 		members = append(members, membership.Member{Record: membership.Record{
 			Node: membership.NodeID(name), Incarnation: 1, State: membership.StateReady, PeerAddress: name}})
-		f.replace(name)
+		f.restart(name)
 	}
 	f.view = membership.NewView(members)
 	return f
 }
 
-// replace gives a node a new process, which remembers nothing.
-func (f *fleet) replace(name string) {
+// restart gives a node a new process, which remembers no keys.
+func (f *fleet) restart(name string) {
 	f.kill(name)
 	replica, err := NewReplica(nil)
 	f.Assert(err, qt.IsNil)
@@ -95,8 +95,8 @@
 	}
 }
 
-// hush makes a node take requests without a reply, or ends that.
-func (f *fleet) hush(name string, silent bool) {
+// setSilent sets whether a node accepts requests without replying.
+func (f *fleet) setSilent(name string, silent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.silent[name] = silent
@@ -124,7 +124,7 @@
 	return near, nil
 }
 
-// memory is that of a new process of a node.
+// memory returns the memory of a new process of a node.
 func (f *fleet) memory(name string) *Memory {
 	f.mu.Lock()
 	own := f.replicas[name]
@@ -141,45 +141,45 @@
 }
 
 var (
-	someKey = repeat.Key{Route: "reservas/book", Value: "k"}
+	testKey = repeat.Key{Route: "reservas/book", Value: "k"}
 	booking = repeat.NewFingerprint("POST", "/bookings", 4, []byte("body"))
 	another = repeat.NewFingerprint("POST", "/bookings", 4, []byte("else"))
 )
 
-// begin claims the key for a request of 4 s.
+// begin claims the key for a request with a timeout of 4 s.
 func (f *fleet) begin(memory *Memory, fingerprint repeat.Fingerprint) (repeat.Claim, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
-	return memory.Begin(ctx, someKey, fingerprint)
+	return memory.Begin(ctx, testKey, fingerprint)
 }
 
-// TestRepeatAtAnotherNode has a request run at node 0 or not, faults, and its
-// repeat at node 1 of five.
+// TestRepeatAtAnotherNode sends a request to node 0 of five, applies faults, and sends
+// its repeat to node 1.
 func TestRepeatAtAnotherNode(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		before      func(f *fleet)
-		ending      repeat.Ending // 0: runs on
+		ending      repeat.Ending // 0: still runs
 		after       func(f *fleet)
 		fingerprint repeat.Fingerprint
 		verdict     repeat.Verdict // 0: no quorum
 	}{
 		{"done", nil, repeat.EndedDone, nil, booking, repeat.Running},
-		{"done, its time over", nil, repeat.EndedDone, func(*fleet) { time.Sleep(5 * time.Second) }, booking, repeat.Lost},
-		{"done, forgotten", nil, repeat.EndedDone, func(*fleet) { time.Sleep(65 * time.Second) }, booking, repeat.First},
-		{"runs on", nil, 0, nil, booking, repeat.Running},
+		{"done, deadline passed", nil, repeat.EndedDone, func(*fleet) { time.Sleep(5 * time.Second) }, booking, repeat.Lost},
+		{"done, key expired", nil, repeat.EndedDone, func(*fleet) { time.Sleep(65 * time.Second) }, booking, repeat.First},
+		{"still running", nil, 0, nil, booking, repeat.Running},
 		{"not run", nil, repeat.EndedNotRun, func(*fleet) { synctest.Wait() }, booking, repeat.First},
 		{"another request", nil, repeat.EndedDone, nil, another, repeat.Conflict},
-		{"owner replaced", nil, repeat.EndedDone, func(f *fleet) { f.replace("0") }, booking, repeat.Running},
+		{"owner restarted", nil, repeat.EndedDone, func(f *fleet) { f.restart("0") }, booking, repeat.Running},
 		{"owner killed", nil, repeat.EndedDone, func(f *fleet) { f.kill("0") }, booking, repeat.Running},
-		{"owner and an edge replaced", nil, repeat.EndedDone, func(f *fleet) { f.replace("0"); f.replace("4") }, booking, repeat.Running},
-		{"owner and an edge killed", nil, repeat.EndedDone, func(f *fleet) { f.kill("0", "4") }, booking, repeat.Running},
-		{"one unreachable, then two replaced", func(f *fleet) { f.kill("2") }, repeat.EndedDone,
-			func(f *fleet) { f.replace("0"); f.replace("2"); f.replace("4") }, booking, repeat.Running},
-		{"one silent, then two replaced", func(f *fleet) { f.hush("2", true) }, repeat.EndedDone,
-			func(f *fleet) { f.hush("2", false); f.replace("0"); f.replace("2"); f.replace("4") }, booking, repeat.Running},
+		{"owner and another replica restarted", nil, repeat.EndedDone, func(f *fleet) { f.restart("0"); f.restart("4") }, booking, repeat.Running},
+		{"owner and another replica killed", nil, repeat.EndedDone, func(f *fleet) { f.kill("0", "4") }, booking, repeat.Running},
+		{"one unreachable at first, two others restarted", func(f *fleet) { f.kill("2") }, repeat.EndedDone,
+			func(f *fleet) { f.restart("0"); f.restart("2"); f.restart("4") }, booking, repeat.Running},
+		{"one silent at first, two others restarted", func(f *fleet) { f.setSilent("2", true) }, repeat.EndedDone,
+			func(f *fleet) { f.setSilent("2", false); f.restart("0"); f.restart("2"); f.restart("4") }, booking, repeat.Running},
 		{"not run, two killed", nil, repeat.EndedNotRun, func(f *fleet) { synctest.Wait(); f.kill("0", "4") }, booking, 0},
-		{"not run, one silent", nil, repeat.EndedNotRun, func(f *fleet) { synctest.Wait(); f.hush("4", true); f.replace("4") },
+		{"not run, one silent", nil, repeat.EndedNotRun, func(f *fleet) { synctest.Wait(); f.setSilent("4", true); f.restart("4") },
 			booking, repeat.First},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -205,27 +205,28 @@
 	}
 }
 
-// TestRefusedClaimFreesTheKey has two of five unreachable, then back.
+// A claim that is refused because two of five replicas are unreachable must leave the
+// key free once one of them is back.
 func TestRefusedClaimFreesTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
 		f.kill("3", "4")
 		_, err := f.begin(f.memory("0"), booking)
 		f.Assert(errors.Is(err, repeat.ErrNoQuorum), qt.IsTrue)
-		f.replace("4")
-		time.Sleep(2 * time.Second) // links to it are given up by then
+		f.restart("4")
+		time.Sleep(2 * time.Second) // old links to the replica are closed by then
 		again, err := f.begin(f.memory("1"), booking)
 		f.Assert(err, qt.IsNil)
 		f.Check(again.Verdict, qt.Equals, repeat.First)
 	})
 }
 
-// TestSplitVotes has another claim hold two of five replicas, which it releases as
-// it lost too: neither ran, and the key is free.
+// A competing claim holds two of five replicas and releases them as it lost too.
+// Neither request ran, so the key must be free.
 func TestSplitVotes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
-		request := wire.ClaimRequest{Action: wire.ClaimActionClaim, Key: keyOf(someKey), Fingerprint: wire.ClaimFingerprint(booking),
+		request := wire.ClaimRequest{Action: wire.ClaimActionClaim, Key: keyOf(testKey), Fingerprint: wire.ClaimFingerprint(booking),
 			Holder: wire.ClaimHolder{Node: "1", Incarnation: 1, Number: 7}, Hold: time.Hour.Milliseconds()}
 		for _, replica := range []string{"1", "2"} {
 			f.replicas[replica].handle(&request)
@@ -245,9 +246,9 @@
 	})
 }
 
-// TestClaimsThatMeet has three nodes claim a key at once, many times: never two
-// run, and when none did the next one does.
-func TestClaimsThatMeet(t *testing.T) {
+// Three nodes claim a key at the same time. At most one may run; if none did, the next
+// claim must win.
+func TestConcurrentClaims(t *testing.T) {
 	for range 50 {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 5)
@@ -266,7 +267,7 @@
 				}
 			}
 			f.Assert(firsts <= 1, qt.IsTrue, qt.Commentf("%d ran", firsts))
-			time.Sleep(3 * time.Second) // all releases have arrived
+			time.Sleep(3 * time.Second) // until all releases have arrived
 			last, _ := f.begin(f.memory("3"), booking)
 			f.Assert(last.Verdict == repeat.First, qt.Equals, firsts == 0)
 		})
--- a/internal/proxy/claim/metrics.go
+++ b/internal/proxy/claim/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics is what operators see of claims.
+// metrics holds the metrics of claims.
 type metrics struct {
 	claims  *prometheus.CounterVec
 	seconds prometheus.Histogram
@@ -41,7 +41,7 @@
 	}
 	for _, collector := range collectors {
 		if err := registerer.Register(collector); err != nil {
-			return eris.Wrap(err, "claims: metrics")
+			return eris.Wrap(err, "claims: register metrics")
 		}
 	}
 	return nil
--- a/internal/proxy/claim/pool.go
+++ b/internal/proxy/claim/pool.go
@@ -9,11 +9,11 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// pool keeps one link to each replica that is asked. A link that is replaced for
-// its silence runs on until it is idle.
+// pool keeps one link to each replica in use. A link that was replaced because its
+// replica did not reply stays open until it is idle.
 type pool struct {
 	dial   dialer
-	base   context.Context // ends with close
+	base   context.Context // cancelled by close
 	cancel context.CancelFunc
 
 	mu      sync.Mutex
@@ -27,8 +27,9 @@
 	return &pool{dial: dial, base: base, cancel: cancel, links: map[address]*link{}}
 }
 
-// ask sends a request to a replica. A link that ended before the reply, as when
-// the peer was replaced, is replaced once: all requests may be sent twice.
+// ask sends a request to a replica. If the link closes before the reply, as when the
+// peer process was replaced, the request is sent once more on a new link: all requests
+// are idempotent.
 func (p *pool) ask(ctx context.Context, to address, request *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	reply, err := p.askOnce(ctx, to, request)
 	if errors.Is(err, errLinkEnded) && ctx.Err() == nil {
@@ -51,9 +52,9 @@
 	if p.closed {
 		return nil
 	}
-	known := p.links[to]
-	if known != nil && known.usable(time.Now()) {
-		return known
+	existing := p.links[to]
+	if existing != nil && existing.usable(time.Now()) {
+		return existing
 	}
 	created := newLink()
 	p.links[to] = created
@@ -72,8 +73,9 @@
 	}
 }
 
-// task runs f with a context that ends with the pool, unless that is closed.
-func (p *pool) task(f func(ctx context.Context)) {
+// startTask runs f in a new goroutine, unless the pool is closed. The context ends
+// when the pool is closed.
+func (p *pool) startTask(f func(ctx context.Context)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.closed {
@@ -81,7 +83,7 @@
 	}
 }
 
-// close ends all links and tasks and waits for them.
+// close closes all links, ends all tasks and waits for them.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/proxy/claim/replica.go
+++ b/internal/proxy/claim/replica.go
@@ -10,11 +10,11 @@
 )
 
 // Stream carries messages between two nodes. One goroutine may read while another
-// writes. After an error it is of no further use.
+// writes. After an error it must not be used again.
 type Stream interface {
 	Next() (wire.Message, error)
 	Write(message wire.Message) error
-	// Close ends the stream at once; it may be called again.
+	// Close closes the stream at once; it may be called more than once.
 	Close() error
 }
 
@@ -24,14 +24,14 @@
 	table *table
 }
 
-// NewReplica returns an empty Replica, or an error when its metric cannot be
-// registered. registerer may be nil.
+// NewReplica returns an empty Replica, or an error if its metric cannot be registered.
+// registerer may be nil.
 func NewReplica(registerer prometheus.Registerer) (*Replica, error) {
 	created := &Replica{table: newTable(maxKeys)}
 	return created, registerKeys(registerer, created)
 }
 
-// Serve answers the requests of a stream, in their order, until it ends.
+// Serve answers the requests of a stream in order until the stream ends.
 func (r *Replica) Serve(stream Stream) {
 	defer stream.Close()
 	for {
--- a/internal/proxy/claim/table.go
+++ b/internal/proxy/claim/table.go
@@ -8,72 +8,72 @@
 )
 
 const (
-	// maxKeys bounds the keys that a replica remembers, at some 200 bytes each.
+	// maxKeys bounds the keys that a replica remembers, at about 200 bytes each.
 	maxKeys = 1 << 17
-	// releaseMemory is how long a release is remembered, against a claim of the
+	// releaseRetention is how long a release is remembered, to reject a claim of the
 	// same holder that arrives after it.
-	releaseMemory = 30 * time.Second
-	// longestHold bounds what a claimer may ask for.
-	longestHold = 48 * time.Hour
+	releaseRetention = 30 * time.Second
+	// maxHold bounds the hold time that a claimer may ask for.
+	maxHold = 48 * time.Hour
 )
 
-// grant is one key of a table.
+// grant is the state of one key.
 type grant struct {
 	key         wire.ClaimKey
 	fingerprint wire.ClaimFingerprint
 	holder      wire.ClaimHolder
 	runsUntil   time.Time
-	until       time.Time
-	released    bool // free, and not to be granted to holder again
-	index       int  // in byEnd
+	expiresAt   time.Time
+	released    bool // free, but not granted to holder again
+	index       int  // position in byExpiry
 }
 
-// table is what a replica remembers: a state machine without goroutines and
-// clock. It forgets nothing early: when it is full it refuses.
+// table is the state of a replica, without goroutines or a clock. It never removes a
+// key before it expires: when it is full, it refuses new keys.
 type table struct {
-	limit  int
-	grants map[wire.ClaimKey]*grant
-	byEnd  endHeap
+	limit    int
+	grants   map[wire.ClaimKey]*grant
+	byExpiry expiryHeap
 }
 
 func newTable(limit int) *table {
 	return &table{limit: limit, grants: map[wire.ClaimKey]*grant{}}
 }
 
-// handle answers a request; the reply has the request's number.
+// handle returns the reply to a request; it has the request's number.
 func (t *table) handle(request *wire.ClaimRequest, now time.Time) wire.ClaimReply {
 	t.expire(now)
 	reply := wire.ClaimReply{Number: request.Number, Verdict: wire.ClaimFree}
-	known := t.grants[request.Key]
+	existing := t.grants[request.Key]
 	switch request.Action {
 	case wire.ClaimActionClaim:
-		reply.Verdict = t.claim(known, request, now)
+		reply.Verdict = t.claim(existing, request, now)
 	case wire.ClaimActionRelease:
-		t.release(known, request, now)
+		t.release(existing, request, now)
 	default:
-		if known != nil && !known.released {
+		if existing != nil && !existing.released {
 			reply.Verdict = wire.ClaimTaken
 		}
 	}
 	if reply.Verdict == wire.ClaimTaken || reply.Verdict == wire.ClaimConflict {
-		reply.Holder = known.holder
-		reply.Running = now.Before(known.runsUntil)
+		reply.Holder = existing.holder
+		reply.Running = now.Before(existing.runsUntil)
 	}
 	return reply
 }
 
-func (t *table) claim(known *grant, request *wire.ClaimRequest, now time.Time) wire.ClaimVerdict {
+func (t *table) claim(existing *grant, request *wire.ClaimRequest, now time.Time) wire.ClaimVerdict {
 	switch {
-	case known == nil:
+	case existing == nil:
 		return t.grantNew(request, now)
-	case known.holder == request.Holder && known.released:
+	case existing.holder == request.Holder && existing.released:
 		return wire.ClaimReleased
-	case known.released:
-		t.remove(known)
+	case existing.released:
+		t.remove(existing)
 		return t.grantNew(request, now)
-	case known.holder == request.Holder:
+	case existing.holder == request.Holder:
 		return wire.ClaimGranted
-	case known.fingerprint != request.Fingerprint:
+	case existing.fingerprint != request.Fingerprint:
 		return wire.ClaimConflict
 	default:
 		return wire.ClaimTaken
@@ -85,8 +85,8 @@
 		key:         request.Key,
 		fingerprint: request.Fingerprint,
 		holder:      request.Holder,
-		runsUntil:   now.Add(bounded(request.RunsFor)),
-		until:       now.Add(bounded(request.Hold)),
+		runsUntil:   now.Add(clampDuration(request.RunsFor)),
+		expiresAt:   now.Add(clampDuration(request.Hold)),
 	}
 	if !t.add(created) {
 		return wire.ClaimFull
@@ -94,21 +94,20 @@
 	return wire.ClaimGranted
 }
 
-func bounded(milliseconds int64) time.Duration {
-	milliseconds = min(max(milliseconds, 0), longestHold.Milliseconds())
+func clampDuration(milliseconds int64) time.Duration {
+	milliseconds = min(max(milliseconds, 0), maxHold.Milliseconds())
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// release frees the key if the holder has it, and remembers the release if nobody
-// has it.
-func (t *table) release(known *grant, request *wire.ClaimRequest, now time.Time) {
-	if known != nil && known.holder != request.Holder && !known.released {
+// release frees the key, unless another holder has it, and remembers the release.
+func (t *table) release(existing *grant, request *wire.ClaimRequest, now time.Time) {
+	if existing != nil && existing.holder != request.Holder && !existing.released {
 		return
 	}
-	if known != nil {
-		t.remove(known)
+	if existing != nil {
+		t.remove(existing)
 	}
-	t.add(&grant{key: request.Key, holder: request.Holder, until: now.Add(releaseMemory), released: true})
+	t.add(&grant{key: request.Key, holder: request.Holder, expiresAt: now.Add(releaseRetention), released: true})
 }
 
 func (t *table) add(created *grant) bool {
@@ -116,39 +115,39 @@
 		return false
 	}
 	t.grants[created.key] = created
-	heap.Push(&t.byEnd, created)
+	heap.Push(&t.byExpiry, created)
 	return true
 }
 
-func (t *table) remove(known *grant) {
-	delete(t.grants, known.key)
-	heap.Remove(&t.byEnd, known.index)
+func (t *table) remove(existing *grant) {
+	delete(t.grants, existing.key)
+	heap.Remove(&t.byExpiry, existing.index)
 }
 
 func (t *table) expire(now time.Time) {
-	for len(t.byEnd) > 0 && !t.byEnd[0].until.After(now) {
-		t.remove(t.byEnd[0])
+	for len(t.byExpiry) > 0 && !t.byExpiry[0].expiresAt.After(now) {
+		t.remove(t.byExpiry[0])
 	}
 }
 
-// endHeap implements heap.Interface by the end of the grants.
-type endHeap []*grant
+// expiryHeap implements heap.Interface, ordered by expiry.
+type expiryHeap []*grant
 
-func (h endHeap) Len() int           { return len(h) }
-func (h endHeap) Less(i, j int) bool { return h[i].until.Before(h[j].until) }
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt.Before(h[j].expiresAt) }
 
-func (h endHeap) Swap(i, j int) {
+func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
-func (h *endHeap) Push(item any) {
+func (h *expiryHeap) Push(item any) {
 	added := item.(*grant)
 	added.index = len(*h)
 	*h = append(*h, added)
 }
 
-func (h *endHeap) Pop() any {
+func (h *expiryHeap) Pop() any {
 	last := len(*h) - 1
 	removed := (*h)[last]
 	(*h)[last] = nil
--- a/internal/proxy/claim/table_test.go
+++ b/internal/proxy/claim/table_test.go
@@ -11,10 +11,10 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-var start = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-// ask is a request of a holder about a key (both small numbers).
-func ask(action wire.ClaimAction, key, holder byte) *wire.ClaimRequest {
+// newRequest returns a request of a holder about a key, both given by small numbers.
+func newRequest(action wire.ClaimAction, key, holder byte) *wire.ClaimRequest {
 	return &wire.ClaimRequest{
 		Action: action, Key: wire.ClaimKey{key}, Holder: wire.ClaimHolder{Node: "n", Number: uint64(holder)},
 		RunsFor: time.Second.Milliseconds(), Hold: time.Minute.Milliseconds(),
@@ -23,7 +23,7 @@
 
 func TestTable(t *testing.T) {
 	const claim, release, query = wire.ClaimActionClaim, wire.ClaimActionRelease, wire.ClaimActionQuery
-	other := ask(claim, 1, 2)
+	other := newRequest(claim, 1, 2)
 	other.Fingerprint = wire.ClaimFingerprint{9}
 	for _, test := range []struct {
 		name    string
@@ -33,36 +33,36 @@
 		verdict wire.ClaimVerdict
 		running bool
 	}{
-		{"new key", nil, 0, ask(claim, 1, 1), wire.ClaimGranted, false},
-		{"same holder again", []*wire.ClaimRequest{ask(claim, 1, 1)}, 0, ask(claim, 1, 1), wire.ClaimGranted, false},
-		{"taken, may still run", []*wire.ClaimRequest{ask(claim, 1, 1)}, time.Second - 1, ask(claim, 1, 2), wire.ClaimTaken, true},
-		{"taken, its time is over", []*wire.ClaimRequest{ask(claim, 1, 1)}, time.Second, ask(claim, 1, 2), wire.ClaimTaken, false},
-		{"taken by another request", []*wire.ClaimRequest{ask(claim, 1, 1)}, time.Second, other, wire.ClaimConflict, false},
-		{"remembered to the end", []*wire.ClaimRequest{ask(claim, 1, 1)}, time.Minute - 1, ask(claim, 1, 2), wire.ClaimTaken, false},
-		{"forgotten", []*wire.ClaimRequest{ask(claim, 1, 1)}, time.Minute, ask(claim, 1, 2), wire.ClaimGranted, false},
-		{"released", []*wire.ClaimRequest{ask(claim, 1, 1), ask(release, 1, 1)}, 0, ask(claim, 1, 2), wire.ClaimGranted, false},
-		{"released by another", []*wire.ClaimRequest{ask(claim, 1, 1), ask(release, 1, 2)}, time.Second, ask(claim, 1, 2), wire.ClaimTaken, false},
-		{"claim after its release", []*wire.ClaimRequest{ask(release, 1, 1)}, 0, ask(claim, 1, 1), wire.ClaimReleased, false},
-		{"full", []*wire.ClaimRequest{ask(claim, 1, 1), ask(claim, 2, 1)}, 0, ask(claim, 3, 1), wire.ClaimFull, false},
-		{"full, own key", []*wire.ClaimRequest{ask(claim, 1, 1), ask(claim, 2, 1)}, 0, ask(claim, 1, 1), wire.ClaimGranted, false},
-		{"full until one ends", []*wire.ClaimRequest{ask(claim, 1, 1), ask(claim, 2, 1)}, time.Minute, ask(claim, 3, 1), wire.ClaimGranted, false},
-		{"query of a taken key", []*wire.ClaimRequest{ask(claim, 1, 1)}, time.Second, ask(query, 1, 2), wire.ClaimTaken, false},
-		{"query of a released key", []*wire.ClaimRequest{ask(claim, 1, 1), ask(release, 1, 1)}, 0, ask(query, 1, 2), wire.ClaimFree, false},
-		{"query of an unknown key", nil, 0, ask(query, 1, 2), wire.ClaimFree, false},
+		{"new key", nil, 0, newRequest(claim, 1, 1), wire.ClaimGranted, false},
+		{"same holder again", []*wire.ClaimRequest{newRequest(claim, 1, 1)}, 0, newRequest(claim, 1, 1), wire.ClaimGranted, false},
+		{"taken, may still run", []*wire.ClaimRequest{newRequest(claim, 1, 1)}, time.Second - 1, newRequest(claim, 1, 2), wire.ClaimTaken, true},
+		{"taken, deadline passed", []*wire.ClaimRequest{newRequest(claim, 1, 1)}, time.Second, newRequest(claim, 1, 2), wire.ClaimTaken, false},
+		{"taken by another request", []*wire.ClaimRequest{newRequest(claim, 1, 1)}, time.Second, other, wire.ClaimConflict, false},
+		{"remembered until the hold ends", []*wire.ClaimRequest{newRequest(claim, 1, 1)}, time.Minute - 1, newRequest(claim, 1, 2), wire.ClaimTaken, false},
+		{"hold expired", []*wire.ClaimRequest{newRequest(claim, 1, 1)}, time.Minute, newRequest(claim, 1, 2), wire.ClaimGranted, false},
+		{"released", []*wire.ClaimRequest{newRequest(claim, 1, 1), newRequest(release, 1, 1)}, 0, newRequest(claim, 1, 2), wire.ClaimGranted, false},
+		{"released by another", []*wire.ClaimRequest{newRequest(claim, 1, 1), newRequest(release, 1, 2)}, time.Second, newRequest(claim, 1, 2), wire.ClaimTaken, false},
+		{"claim after its release", []*wire.ClaimRequest{newRequest(release, 1, 1)}, 0, newRequest(claim, 1, 1), wire.ClaimReleased, false},
+		{"full", []*wire.ClaimRequest{newRequest(claim, 1, 1), newRequest(claim, 2, 1)}, 0, newRequest(claim, 3, 1), wire.ClaimFull, false},
+		{"full, own key", []*wire.ClaimRequest{newRequest(claim, 1, 1), newRequest(claim, 2, 1)}, 0, newRequest(claim, 1, 1), wire.ClaimGranted, false},
+		{"full until a hold expires", []*wire.ClaimRequest{newRequest(claim, 1, 1), newRequest(claim, 2, 1)}, time.Minute, newRequest(claim, 3, 1), wire.ClaimGranted, false},
+		{"query of a taken key", []*wire.ClaimRequest{newRequest(claim, 1, 1)}, time.Second, newRequest(query, 1, 2), wire.ClaimTaken, false},
+		{"query of a released key", []*wire.ClaimRequest{newRequest(claim, 1, 1), newRequest(release, 1, 1)}, 0, newRequest(query, 1, 2), wire.ClaimFree, false},
+		{"query of an unknown key", nil, 0, newRequest(query, 1, 2), wire.ClaimFree, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			table := newTable(2)
 			for _, request := range test.before {
-				table.handle(request, start)
+				table.handle(request, startTime)
 			}
-			reply := table.handle(test.request, start.Add(test.after))
+			reply := table.handle(test.request, startTime.Add(test.after))
 			c.Check(reply.Verdict, qt.Equals, test.verdict)
 			c.Check(reply.Running, qt.Equals, test.running)
 			if reply.Verdict == wire.ClaimTaken {
 				c.Check(reply.Holder.Number, qt.Equals, uint64(1))
 			}
-			c.Check(table.byEnd, qt.HasLen, len(table.grants))
+			c.Check(table.byExpiry, qt.HasLen, len(table.grants))
 		})
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	for _, test := range []struct {
 		name             string
-		known, listed    string // one letter a node
+		known, listed    string // one letter per node
 		replicas, needed int
 	}{
 		{"large fleet", "abcdefgh", "", 5, 4},
@@ -82,9 +82,9 @@
 		{"four", "abcd", "", 4, 3},
 		{"three", "abc", "", 3, 2},
 		{"two", "ab", "", 2, 2},
-		{"alone", "a", "", 1, 1},
-		{"just started, knows a list only", "a", "bcde", 1, 4},
-		{"list with one that is gone", "abcd", "e", 4, 4},
+		{"single node", "a", "", 1, 1},
+		{"just started, knows only the platform's list", "a", "bcde", 1, 4},
+		{"list with a node that is gone", "abcd", "e", 4, 4},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -98,7 +98,7 @@
 			set := replicasOf(wire.ClaimKey{1}, membership.NewView(members), 5)
 			c.Check(set.replicas, qt.HasLen, test.replicas)
 			c.Check(set.needed, qt.Equals, test.needed)
-			for _, one := range set.replicas { // one member less moves at most one replica
+			for _, one := range set.replicas { // removing a member replaces at most one replica
 				rest := membership.NewView(members[1:])
 				if one.node != members[0].Record.Node && test.listed == "" {
 					c.Check(replicasOf(wire.ClaimKey{1}, rest, 5).replicas, qt.Contains, one)
@@ -108,36 +108,37 @@
 	}
 }
 
-// race is several claims of one key with a network that loses and reorders.
-type race struct {
+// simulation runs several claims of one key over a network that loses and reorders
+// messages.
+type simulation struct {
 	tables   []*table
 	tallies  []*tally
-	settled  []bool // the claim is over; what it lost it releases
-	heard    map[message]bool
+	settled  []bool // the claim is decided; a lost one is released
+	replied  map[message]bool
 	inFlight []message
-	running  int // the holder that won and did not release; -1: none
+	running  int // holder that won and did not release; -1: none
 	restarts int
 }
 
-// message is on its way: a request of a holder to a replica, or the reply.
+// message is a request of a holder to a replica that is in flight, or its reply.
 type message struct {
 	replica, holder int
 	action          wire.ClaimAction
-	reply           wire.ClaimVerdict // 0: a request
+	reply           wire.ClaimVerdict // 0: this is a request
 }
 
-const raceReplicas, raceRestarts, raceHolders, raceSteps = 5, 2, 5, 150
+const simulatedReplicas, maxRestarts, maxHolders, simulatedSteps = 5, 2, 5, 150
 
-// TestAtMostOneHolderRuns drives claims, losses, orders, repeats of requests and up
-// to two replicas that restart empty.
+// TestAtMostOneHolderRuns simulates claims with message loss, reordering, duplicate
+// requests and up to two replicas that restart without their state.
 func TestAtMostOneHolderRuns(t *testing.T) {
 	wins, losses := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		r := &race{running: -1, heard: map[message]bool{}}
-		for range raceReplicas {
+		r := &simulation{running: -1, replied: map[message]bool{}}
+		for range simulatedReplicas {
 			r.tables = append(r.tables, newTable(10))
 		}
-		for range raceSteps {
+		for range simulatedSteps {
 			r.step(t, rapid.IntRange(0, 39).Draw(t, "step"))
 		}
 		for _, one := range r.tallies {
@@ -151,17 +152,17 @@
 	qt.Check(t, wins > 0 && losses > 0, qt.IsTrue, qt.Commentf("%d wins, %d losses", wins, losses))
 }
 
-// step does one thing; most are deliveries.
-func (r *race) step(t *rapid.T, number int) {
+// step executes one random action; most deliver a message.
+func (r *simulation) step(t *rapid.T, number int) {
 	switch number {
 	case 0, 1, 2:
 		r.claim()
 	case 3:
-		r.take(t, false)
+		r.deliverOrDrop(t, false)
 	case 4:
-		if r.restarts < raceRestarts {
+		if r.restarts < maxRestarts {
 			r.restarts++
-			r.tables[rapid.IntRange(0, raceReplicas-1).Draw(t, "replica")] = newTable(10)
+			r.tables[rapid.IntRange(0, simulatedReplicas-1).Draw(t, "replica")] = newTable(10)
 		}
 	case 5:
 		if len(r.tallies) == 0 {
@@ -169,7 +170,7 @@
 		}
 		holder := rapid.IntRange(0, len(r.tallies)-1).Draw(t, "holder")
 		if !r.settled[holder] {
-			r.tallies[holder].awaited = 0 // its time is over
+			r.tallies[holder].awaited = 0 // the claim timed out
 			r.settle(t, holder)
 		}
 	case 6:
@@ -178,28 +179,28 @@
 			r.running = -1
 		}
 	default:
-		r.take(t, true)
+		r.deliverOrDrop(t, true)
 	}
 }
 
-func (r *race) claim() {
-	if len(r.tallies) == raceHolders {
+func (r *simulation) claim() {
+	if len(r.tallies) == maxHolders {
 		return
 	}
-	r.tallies = append(r.tallies, newTally(replicaSet{replicas: make([]address, raceReplicas), needed: needed(raceReplicas)}))
+	r.tallies = append(r.tallies, newTally(replicaSet{replicas: make([]address, simulatedReplicas), needed: quorumSize(simulatedReplicas)}))
 	r.settled = append(r.settled, false)
 	r.send(len(r.tallies)-1, wire.ClaimActionClaim)
 }
 
-func (r *race) send(holder int, action wire.ClaimAction) {
-	for replica := range raceReplicas {
+func (r *simulation) send(holder int, action wire.ClaimAction) {
+	for replica := range simulatedReplicas {
 		r.inFlight = append(r.inFlight, message{replica: replica, holder: holder, action: action})
 	}
 }
 
-// take removes any message that is on its way, and delivers it or not. A request
-// that is delivered may stay on its way, as one that is sent twice.
-func (r *race) take(t *rapid.T, deliver bool) {
+// deliverOrDrop takes a random message in flight and delivers or drops it. A delivered
+// request may stay in flight, as if it had been sent twice.
+func (r *simulation) deliverOrDrop(t *rapid.T, deliver bool) {
 	if len(r.inFlight) == 0 {
 		return
 	}
@@ -211,20 +212,20 @@
 	switch {
 	case !deliver:
 	case taken.reply == 0:
-		reply := r.tables[taken.replica].handle(ask(taken.action, 1, byte(taken.holder)), start)
+		reply := r.tables[taken.replica].handle(newRequest(taken.action, 1, byte(taken.holder)), startTime)
 		taken.reply = reply.Verdict
 		if taken.action == wire.ClaimActionClaim {
 			r.inFlight = append(r.inFlight, taken)
 		}
-	case !r.settled[taken.holder] && !r.heard[message{replica: taken.replica, holder: taken.holder}]:
-		r.heard[message{replica: taken.replica, holder: taken.holder}] = true
-		r.tallies[taken.holder].answered(address{}, &wire.ClaimReply{Verdict: taken.reply})
+	case !r.settled[taken.holder] && !r.replied[message{replica: taken.replica, holder: taken.holder}]:
+		r.replied[message{replica: taken.replica, holder: taken.holder}] = true
+		r.tallies[taken.holder].recordReply(address{}, &wire.ClaimReply{Verdict: taken.reply})
 		r.settle(t, taken.holder)
 	}
 }
 
-// settle ends a claim that is decided.
-func (r *race) settle(t *rapid.T, holder int) {
+// settle ends a claim once it is decided.
+func (r *simulation) settle(t *rapid.T, holder int) {
 	switch r.tallies[holder].result() {
 	case pending:
 		return
--- a/internal/proxy/claim/tally.go
+++ b/internal/proxy/claim/tally.go
@@ -2,7 +2,7 @@
 
 import "github.com/winchhead/winchhead/internal/wire"
 
-// result is what became of a claim.
+// result is the result of a claim.
 type result uint8
 
 const (
@@ -10,30 +10,30 @@
 	won             // the request may run
 	taken           // another holder may have run the request
 	conflict        // another holder has the key, for another request
-	noQuorum        // too few replicas granted the key, and no other holder is seen
+	noQuorum        // too few replicas granted the key, and no other holder is known
 )
 
-// String returns the result for metrics.
+// String returns the result as a metric label.
 func (r result) String() string {
 	return [...]string{pending: "pending", won: "won", taken: "taken", conflict: "conflict", noQuorum: "no-quorum"}[r]
 }
 
-// tally counts the answers to one claim: a state machine without clock. A claim
-// wins with the last grant it needs, but is lost only once all have answered, as
-// the last answer may tell of another holder.
+// tally counts the replies to one claim; it has no clock. A claim is won with the last
+// grant that it needs, but lost only once all replicas have replied, as the last reply
+// may reveal another holder.
 type tally struct {
 	needed    int
 	awaited   int
 	granted   int
 	conflicts int
-	running   bool      // a holder's request still has time
+	running   bool      // another holder's request may still run
 	takenAt   []address // replicas where another holder has the key
 }
 
 func newTally(set replicaSet) *tally { return &tally{needed: set.needed, awaited: len(set.replicas)} }
 
-// answered counts the answer of a replica; nil: none came.
-func (t *tally) answered(from address, reply *wire.ClaimReply) {
+// recordReply counts the reply of a replica; nil if there was none.
+func (t *tally) recordReply(from address, reply *wire.ClaimReply) {
 	t.awaited--
 	if reply == nil {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// result tells how the claim stands. It doesn't change after pending.
+// result returns the result so far. It does not change once it is not pending.
 func (t *tally) result() result {
 	switch {
 	case t.granted >= t.needed:
