--- a/internal/proxy/claim/attempt.go
+++ b/internal/proxy/claim/attempt.go
@@ -17,7 +17,7 @@
 	timeout time.Duration
 }
 
-// replicaReply is the reply of a replica; reply is nil if it did not answer.
+// replicaReply is the reply of a replica; reply is nil if it did not reply.
 type replicaReply struct {
 	from  address
 	reply *wire.ClaimReply
@@ -47,10 +47,10 @@
 // won still get the request: each further replica that knows the key makes up for one
 // that may be lost later.
 func (a *attempt) claim(ctx context.Context) {
-	answers := a.askAll(a.set.replicas, a.request)
+	replies := a.askAll(a.set.replicas, a.request)
 	for a.tally.result() == pending {
 		select {
-		case received := <-answers:
+		case received := <-replies:
 			a.tally.recordReply(received.from, received.reply)
 		case <-ctx.Done():
 			a.tally.awaited = 0 // the remaining replicas count as unreachable
@@ -60,7 +60,7 @@
 
 // askAll sends a request to replicas; each yields one reply within the timeout.
 func (a *attempt) askAll(replicas []address, request wire.ClaimRequest) <-chan replicaReply {
-	answers := make(chan replicaReply, len(replicas))
+	replies := make(chan replicaReply, len(replicas))
 	for _, to := range replicas {
 		a.memory.pool.startTask(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, a.timeout)
@@ -69,10 +69,10 @@
 			if err != nil {
 				reply = nil
 			}
-			answers <- replicaReply{to, reply}
+			replies <- replicaReply{to, reply}
 		})
 	}
-	return answers
+	return replies
 }
 
 // othersReleased reports whether the key is free again at all replicas where another
@@ -85,18 +85,18 @@
 		if wait.For(ctx, delay) != nil {
 			return false
 		}
-		answers := a.askAll(a.tally.takenAt, query)
-		if a.allFree(ctx, answers) {
+		replies := a.askAll(a.tally.takenAt, query)
+		if a.allFree(ctx, replies) {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *attempt) allFree(ctx context.Context, answers <-chan replicaReply) bool {
+func (a *attempt) allFree(ctx context.Context, replies <-chan replicaReply) bool {
 	for range a.tally.takenAt {
 		select {
-		case received := <-answers:
+		case received := <-replies:
 			if received.reply == nil || received.reply.Verdict != wire.ClaimFree {
 				return false
 			}
--- a/internal/proxy/claim/memory.go
+++ b/internal/proxy/claim/memory.go
@@ -106,14 +106,14 @@
 }
 
 // End implements repeat.Run.
-func (r *claimedRun) End(ending repeat.Ending, answer *repeat.Answer) {
+func (r *claimedRun) End(ending repeat.Ending, response *repeat.Response) {
 	if !r.ended.CompareAndSwap(false, true) {
 		return
 	}
 	if ending == repeat.EndedNotRun {
 		r.attempt.release()
 	}
-	r.Run.End(ending, answer)
+	r.Run.End(ending, response)
 }
 
 func (m *Memory) newAttempt(ctx context.Context, key repeat.Key, fingerprint repeat.Fingerprint) *attempt {
--- a/internal/proxy/claim/replica.go
+++ b/internal/proxy/claim/replica.go
@@ -31,7 +31,7 @@
 	return created, registerKeys(registerer, created)
 }
 
-// Serve answers the requests of a stream in order until the stream ends.
+// Serve replies to the requests of a stream in order until the stream ends.
 func (r *Replica) Serve(stream Stream) {
 	defer stream.Close()
 	for {
--- a/internal/proxy/inbound/idempotency.go
+++ b/internal/proxy/inbound/idempotency.go
@@ -16,13 +16,13 @@
 
 // idempotencyState is the state of an exchange whose request has an Idempotency-Key.
 type idempotencyState struct {
-	firstRun   repeat.Run     // set if this is the first request with its key
-	replay     *repeat.Answer // set if the request repeats one whose response is remembered
-	recorded   *repeat.Answer // response of the first request so far; nil if too large
-	completed  bool           // the response of the first request was complete
-	shed       bool           // the backend refused the request, which did not run
-	detached   bool           // continues when the sender disconnects
-	senderLost bool           // a write to the sender failed
+	firstRun   repeat.Run       // set if this is the first request with its key
+	replay     *repeat.Response // set if the request repeats one whose response is remembered
+	recorded   *repeat.Response // response of the first request so far; nil if too large
+	completed  bool             // the response of the first request was complete
+	shed       bool             // the backend refused the request, which did not run
+	detached   bool             // continues when the sender disconnects
+	senderLost bool             // a write to the sender failed
 }
 
 // claim asks the memory about the request's key. It may set firstRun or replay.
@@ -49,7 +49,7 @@
 		return refusal(outcome.ReasonOverloaded, "the key cannot be remembered")
 	}
 	e.proxy.metrics.claimed(claim.Verdict)
-	e.firstRun, e.replay = claim.Run, claim.Answer
+	e.firstRun, e.replay = claim.Run, claim.Response
 	if e.firstRun != nil && whole {
 		// Nothing more is needed from the sender. The request runs to its end even if
 		// the sender disconnects, so that a repeat gets a definite response.
@@ -113,14 +113,14 @@
 	}
 	header := make(http.Header, len(response.Header))
 	forward.PassAnswerHeader(header, response.Header.Clone())
-	e.recorded = &repeat.Answer{Status: response.StatusCode, Header: header}
+	e.recorded = &repeat.Response{Status: response.StatusCode, Header: header}
 }
 
 func (e *exchange) recordChunk(chunk []byte) {
 	if e.recorded == nil {
 		return
 	}
-	if len(e.recorded.Body)+len(chunk) > repeat.DefaultAnswerBytes {
+	if len(e.recorded.Body)+len(chunk) > repeat.DefaultMaxResponseBytes {
 		e.recorded = nil
 		return
 	}
--- a/internal/proxy/repeat/local.go
+++ b/internal/proxy/repeat/local.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Local is a Memory in this process. It ends with the process: a repeat that then
-// reaches another process is that one's first.
+// Local is a Memory in this process only: it is lost when the process ends, and a
+// repeat that reaches another process counts as the first request there.
 type Local struct {
 	mu    sync.Mutex
 	table *table
 }
 
-// NewLocal returns an empty memory.
+// NewLocal returns an empty Local.
 func NewLocal(limits Limits) *Local { return &Local{table: newTable(limits)} }
 
 // Begin implements Memory.
@@ -31,7 +31,8 @@
 	}
 }
 
-// try returns the claim, or the channel that is closed at the end of the first.
+// try returns the claim, or, while the first request runs, the channel that is closed
+// when it ends.
 func (l *Local) try(key Key, fingerprint Fingerprint) (Claim, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,11 +47,11 @@
 	case found.verdict == Running:
 		return Claim{}, found.ended, nil
 	default:
-		return Claim{Verdict: found.verdict, Answer: found.answer}, nil, nil
+		return Claim{Verdict: found.verdict, Response: found.response}, nil, nil
 	}
 }
 
-// Size returns how many keys are remembered and the bytes their answers take.
+// Size returns the number of remembered keys and the bytes that their responses take.
 func (l *Local) Size() (entries, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,10 +65,10 @@
 }
 
 // End implements Run.
-func (r *localRun) End(ending Ending, answer *Answer) {
+func (r *localRun) End(ending Ending, response *Response) {
 	r.once.Do(func() {
 		r.memory.mu.Lock()
 		defer r.memory.mu.Unlock()
-		r.memory.table.end(r.entry, ending, answer, time.Now())
+		r.memory.table.end(r.entry, ending, response, time.Now())
 	})
 }
--- a/internal/proxy/repeat/repeat.go
+++ b/internal/proxy/repeat/repeat.go
@@ -1,7 +1,7 @@
-// Package repeat remembers requests by their Idempotency-Key, so that a caller's
-// own repeat of a request that may run only once doesn't run again: it gets the
-// first's answer or is refused. Memory is the contract; Local keeps the memory in
-// this process, and a replicated one can take its place.
+// Package repeat remembers requests by their Idempotency-Key, so that a request that
+// may run only once does not run again when its caller repeats it: the repeat gets the
+// first response or is refused. Memory is the interface; Local remembers keys in this
+// process, and a replicated implementation can take its place.
 package repeat
 
 import (
@@ -13,25 +13,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrFull is the error of a Memory that cannot remember one more key. The request
-// must then be refused: run without a memory it might run twice.
+// ErrFull is returned by a Memory that cannot remember another key. The request must
+// then be refused, as without the memory it might run twice.
 var ErrFull = eris.New("the memory of idempotency keys is full")
 
-// ErrNoQuorum is the error of a replicated Memory when too few replicas granted
-// the key. The request did not run, and the key is free again.
+// ErrNoQuorum is returned by a replicated Memory if too few replicas granted the key.
+// The request did not run, and the key is free again.
 var ErrNoQuorum = eris.New("too few replicas granted the idempotency key")
 
-// MaxKeyBytes bounds an Idempotency-Key.
+// MaxKeyBytes bounds the length of an Idempotency-Key.
 const MaxKeyBytes = 256
 
-// Key names a request: a caller's key on one route.
+// Key identifies a request by a caller's key on one route.
 type Key struct{ Route, Value string }
 
-// Fingerprint tells whether two requests with one key are the same.
+// Fingerprint tells whether two requests with the same key are equal.
 type Fingerprint [sha256.Size]byte
 
-// NewFingerprint covers the method, the request target, the length as declared
-// (-1: not declared) and the start of the body.
+// NewFingerprint hashes the method, the request target, the declared length (-1 if not
+// declared) and the start of the body.
 func NewFingerprint(method, target string, length int64, body []byte) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{method, target} {
@@ -43,18 +43,18 @@
 	return Fingerprint(digest.Sum(nil))
 }
 
-// Answer is a remembered answer of a back end. It must not be changed.
-type Answer struct {
+// Response is a remembered response of a backend. It must not be changed.
+type Response struct {
 	Status  int
 	Header  http.Header
 	Body    []byte
 	Trailer http.Header
 }
 
-// size is what an answer takes in memory, in bytes, roughly.
-func (a *Answer) size() int {
-	total := len(a.Body)
-	for _, header := range []http.Header{a.Header, a.Trailer} {
+// size returns the approximate number of bytes that a response takes in memory.
+func (r *Response) size() int {
+	total := len(r.Body)
+	for _, header := range []http.Header{r.Header, r.Trailer} {
 		for name, values := range header {
 			total += len(name)
 			for _, value := range values {
@@ -65,26 +65,26 @@
 	return total
 }
 
-// Verdict is how a request stands to the first with its key.
+// Verdict is the relation of a request to the first one with its key.
 type Verdict uint8
 
 // The verdicts.
 const (
 	// First: the request is the first and runs; Claim.Run must be ended.
 	First Verdict = iota + 1
-	// Running: the first still ran when the time to wait for it was over.
+	// Running: the first request still ran when the wait for it ended.
 	Running
-	// Answered: Claim.Answer is the first's answer.
+	// Answered: Claim.Response is the response to the first request.
 	Answered
-	// Done: the first ran to its end and its answer isn't kept.
+	// Done: the first request was completed, but its response is not kept.
 	Done
-	// Lost: nobody knows whether the first ran.
+	// Lost: it is unknown whether the first request ran.
 	Lost
-	// Conflict: the key was used with another request.
+	// Conflict: the key was used with a different request.
 	Conflict
 )
 
-// String returns the verdict for metrics.
+// String returns the verdict as a metric label.
 func (v Verdict) String() string {
 	names := [...]string{
 		First: "first", Running: "running", Answered: "answered",
@@ -96,11 +96,11 @@
 	return names[v]
 }
 
-// Claim is the answer to a request with a key.
+// Claim is a Memory's decision on a request with a key.
 type Claim struct {
-	Verdict Verdict
-	Run     Run     // with First
-	Answer  *Answer // with Answered
+	Verdict  Verdict
+	Run      Run       // set with First
+	Response *Response // set with Answered
 }
 
 // Ending is how a first request ended.
@@ -110,23 +110,24 @@
 const (
 	// EndedNotRun frees the key: a repeat runs.
 	EndedNotRun Ending = iota + 1
-	// EndedDone keeps the key, with the answer if there is one.
+	// EndedDone keeps the key, and the response if there is one.
 	EndedDone
-	// EndedUnknown keeps the key: a repeat is refused as it might run twice.
+	// EndedUnknown keeps the key: a repeat is refused, as it might run a second time.
 	EndedUnknown
 )
 
-// Run is the right to run the first request with a key. It must be ended; only
-// the first End counts.
+// Run is the permission to run the first request with a key. The caller must end it;
+// only the first call of End has an effect.
 type Run interface {
-	// End tells how the request ended. answer may be nil.
-	End(ending Ending, answer *Answer)
+	// End records how the request ended. response may be nil.
+	End(ending Ending, response *Response)
 }
 
 // Memory remembers keys. It is safe for concurrent use.
 type Memory interface {
-	// Begin tells how a request stands to the first with its key. While the first
-	// runs it waits for its end, or until ctx ends, whose deadline is the request's. An error means that the key
-	// could not be remembered, and that the request must not run.
+	// Begin decides on a request with a key. While the first request with the key
+	// runs, it waits until that ends or ctx does; the deadline of ctx is the
+	// request's. If it returns an error, the key could not be remembered and the
+	// request must not run.
 	Begin(ctx context.Context, key Key, fingerprint Fingerprint) (Claim, error)
 }
--- a/internal/proxy/repeat/repeat_test.go
+++ b/internal/proxy/repeat/repeat_test.go
@@ -18,7 +18,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 var (
-	limits  = repeat.Limits{Entries: 2, AnswerBytes: 10, TotalBytes: 15, Lifetime: time.Minute}
+	limits  = repeat.Limits{MaxKeys: 2, MaxResponseBytes: 10, MaxTotalBytes: 15, Lifetime: time.Minute}
 	key     = repeat.Key{Route: "reservas/book", Value: "k"}
 	booking = repeat.NewFingerprint("POST", "/bookings", 4, []byte("body"))
 )
@@ -30,31 +30,31 @@
 }
 
 func TestRepeatOfAnEndedRequest(t *testing.T) {
-	small := &repeat.Answer{Status: 201, Body: []byte("whole")}
+	small := &repeat.Response{Status: 201, Body: []byte("whole")}
 	for _, test := range []struct {
 		name        string
 		ending      repeat.Ending
-		answer      *repeat.Answer
+		response    *repeat.Response
 		after       time.Duration
 		fingerprint repeat.Fingerprint
 		expected    repeat.Claim
 	}{
-		{"answered", repeat.EndedDone, small, 0, booking, repeat.Claim{Verdict: repeat.Answered, Answer: small}},
-		{"answered, just remembered", repeat.EndedDone, small, time.Minute - 1, booking,
-			repeat.Claim{Verdict: repeat.Answered, Answer: small}},
-		{"answered, forgotten", repeat.EndedDone, small, time.Minute, booking, repeat.Claim{Verdict: repeat.First}},
-		{"answer not kept", repeat.EndedDone, nil, 0, booking, repeat.Claim{Verdict: repeat.Done}},
-		{"answer too large", repeat.EndedDone, &repeat.Answer{Body: make([]byte, 11)}, 0, booking,
+		{"answered", repeat.EndedDone, small, 0, booking, repeat.Claim{Verdict: repeat.Answered, Response: small}},
+		{"answered, just before expiry", repeat.EndedDone, small, time.Minute - 1, booking,
+			repeat.Claim{Verdict: repeat.Answered, Response: small}},
+		{"answered, key expired", repeat.EndedDone, small, time.Minute, booking, repeat.Claim{Verdict: repeat.First}},
+		{"response not kept", repeat.EndedDone, nil, 0, booking, repeat.Claim{Verdict: repeat.Done}},
+		{"response too large", repeat.EndedDone, &repeat.Response{Body: make([]byte, 11)}, 0, booking,
 			repeat.Claim{Verdict: repeat.Done}},
 		{"not run frees the key", repeat.EndedNotRun, nil, 0, booking, repeat.Claim{Verdict: repeat.First}},
-		{"not run frees the key for another", repeat.EndedNotRun, nil, 0,
+		{"not run frees the key for a different request", repeat.EndedNotRun, nil, 0,
 			repeat.NewFingerprint("PUT", "/bookings", 4, []byte("body")), repeat.Claim{Verdict: repeat.First}},
 		{"unknown keeps the key", repeat.EndedUnknown, nil, 0, booking, repeat.Claim{Verdict: repeat.Lost}},
-		{"another method", repeat.EndedDone, small, 0,
+		{"different method", repeat.EndedDone, small, 0,
 			repeat.NewFingerprint("PUT", "/bookings", 4, []byte("body")), repeat.Claim{Verdict: repeat.Conflict}},
-		{"another body", repeat.EndedUnknown, nil, 0,
+		{"different body", repeat.EndedUnknown, nil, 0,
 			repeat.NewFingerprint("POST", "/bookings", 4, []byte("else")), repeat.Claim{Verdict: repeat.Conflict}},
-		{"another path, same bytes in a row", repeat.EndedDone, nil, 0,
+		{"different path, same concatenated bytes", repeat.EndedDone, nil, 0,
 			repeat.NewFingerprint("POST/", "bookings", 4, []byte("body")), repeat.Claim{Verdict: repeat.Conflict}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -63,8 +63,8 @@
 				memory := repeat.NewLocal(limits)
 				first := begin(c, memory, key, booking)
 				c.Assert(first.Verdict, qt.Equals, repeat.First)
-				first.Run.End(test.ending, test.answer)
-				first.Run.End(repeat.EndedNotRun, nil) // only the first end counts
+				first.Run.End(test.ending, test.response)
+				first.Run.End(repeat.EndedNotRun, nil) // no effect: only the first call counts
 				time.Sleep(test.after)
 				again := begin(c, memory, key, test.fingerprint)
 				again.Run = nil
@@ -80,9 +80,9 @@
 		act      func(run repeat.Run)
 		expected repeat.Verdict
 	}{
-		{"and gets its answer", func(run repeat.Run) { run.End(repeat.EndedDone, &repeat.Answer{}) }, repeat.Answered},
-		{"and runs when it did not", func(run repeat.Run) { run.End(repeat.EndedNotRun, nil) }, repeat.First},
-		{"until its own time is over", func(repeat.Run) {}, repeat.Running},
+		{"and gets its response", func(run repeat.Run) { run.End(repeat.EndedDone, &repeat.Response{}) }, repeat.Answered},
+		{"and runs if the first did not run", func(run repeat.Run) { run.End(repeat.EndedNotRun, nil) }, repeat.First},
+		{"until its own deadline", func(repeat.Run) {}, repeat.Running},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -107,32 +107,33 @@
 func TestFullMemoryRefuses(t *testing.T) {
 	c := qt.New(t)
 	memory := repeat.NewLocal(limits)
-	for number := range limits.Entries {
+	for number := range limits.MaxKeys {
 		begin(c, memory, repeat.Key{Value: strconv.Itoa(number)}, booking)
 	}
 	_, err := memory.Begin(c.Context(), key, booking)
 	c.Check(errors.Is(err, repeat.ErrFull), qt.IsTrue)
 }
 
-// TestNoKeyRunsTwice drives arbitrary orders: a key that ended done or unknown is
-// not run again within its lifetime, and the bounds hold.
+// TestNoKeyRunsTwice runs random sequences of begins and ends: a key whose request
+// ended as done or unknown must not run again within its lifetime, and the limits must
+// hold.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bounds := repeat.Limits{Entries: 4, AnswerBytes: 8, TotalBytes: 12, Lifetime: time.Hour}
+		bounds := repeat.Limits{MaxKeys: 4, MaxResponseBytes: 8, MaxTotalBytes: 12, Lifetime: time.Hour}
 		memory := repeat.NewLocal(bounds)
 		ctx, cancel := context.WithCancel(context.Background())
-		cancel() // a repeat never waits
+		cancel() // a repeat does not wait
 		running := map[repeat.Key]repeat.Run{}
-		taken := map[repeat.Key]bool{}
+		keptKeys := map[repeat.Key]bool{}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
 				key := repeat.Key{Value: strconv.Itoa(rapid.IntRange(0, 6).Draw(t, "key"))}
 				claim, err := memory.Begin(ctx, key, booking)
-				if (err != nil) != (len(running)+len(taken) == bounds.Entries && running[key] == nil && !taken[key]) {
-					t.Fatalf("error %v with %d running and %d taken", err, len(running), len(taken))
+				if (err != nil) != (len(running)+len(keptKeys) == bounds.MaxKeys && running[key] == nil && !keptKeys[key]) {
+					t.Fatalf("error %v with %d keys running and %d ended", err, len(running), len(keptKeys))
 				}
 				if claim.Verdict == repeat.First {
-					if running[key] != nil || taken[key] {
+					if running[key] != nil || keptKeys[key] {
 						t.Fatalf("key %v runs twice", key)
 					}
 					running[key] = claim.Run
@@ -146,17 +147,17 @@
 						continue
 					}
 					ending := rapid.SampledFrom([]repeat.Ending{repeat.EndedNotRun, repeat.EndedDone, repeat.EndedUnknown}).Draw(t, "ending")
-					run.End(ending, &repeat.Answer{Body: make([]byte, rapid.IntRange(0, 10).Draw(t, "bytes"))})
+					run.End(ending, &repeat.Response{Body: make([]byte, rapid.IntRange(0, 10).Draw(t, "bytes"))})
 					delete(running, key)
 					if ending != repeat.EndedNotRun {
-						taken[key] = true
+						keptKeys[key] = true
 					}
 					break
 				}
 			},
 			"": func(t *rapid.T) {
-				if _, bytes := memory.Size(); bytes > bounds.TotalBytes {
-					t.Fatalf("answers take %d bytes", bytes)
+				if _, bytes := memory.Size(); bytes > bounds.MaxTotalBytes {
+					t.Fatalf("responses take %d bytes", bytes)
 				}
 			},
 		})
--- a/internal/proxy/repeat/table.go
+++ b/internal/proxy/repeat/table.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Limits bounds a Local memory.
+// Limits bounds a Local.
 type Limits struct {
-	// Entries is how many keys are remembered; one more is refused with ErrFull.
-	Entries int
-	// AnswerBytes bounds one kept answer; a larger one isn't kept.
-	AnswerBytes int
-	// TotalBytes bounds all kept answers; the oldest are dropped first, their
-	// keys stay.
-	TotalBytes int
+	// MaxKeys is how many keys are remembered; further keys are refused with ErrFull.
+	MaxKeys int
+	// MaxResponseBytes bounds one remembered response; a larger one is not kept.
+	MaxResponseBytes int
+	// MaxTotalBytes bounds all remembered responses. The oldest responses are dropped
+	// first; their keys are kept.
+	MaxTotalBytes int
 	// Lifetime is how long a key is remembered after its request ended.
 	Lifetime time.Duration
 }
 
-// The bounds of DefaultLimits: with some hundred bytes a key and the answers, some
-// 30 MB at the most.
+// The limits of DefaultLimits. With a few hundred bytes per key and the responses,
+// they amount to at most about 30 MB.
 const (
-	defaultEntries    = 1 << 16
-	defaultTotalBytes = 16 << 20
-	// DefaultAnswerBytes is the size of the largest answer that is kept.
-	DefaultAnswerBytes = 64 << 10
+	defaultMaxKeys       = 1 << 16
+	defaultMaxTotalBytes = 16 << 20
+	// DefaultMaxResponseBytes is the size of the largest response that is kept.
+	DefaultMaxResponseBytes = 64 << 10
 )
 
-// DefaultLimits returns the usual bounds with a lifetime.
+// DefaultLimits returns the default limits with a lifetime.
 func DefaultLimits(lifetime time.Duration) Limits {
 	return Limits{
-		Entries:     defaultEntries,
-		AnswerBytes: DefaultAnswerBytes,
-		TotalBytes:  defaultTotalBytes,
-		Lifetime:    lifetime,
+		MaxKeys:          defaultMaxKeys,
+		MaxResponseBytes: DefaultMaxResponseBytes,
+		MaxTotalBytes:    defaultMaxTotalBytes,
+		Lifetime:         lifetime,
 	}
 }
 
@@ -38,19 +38,19 @@
 type entry struct {
 	key         Key
 	fingerprint Fingerprint
-	verdict     Verdict // for a repeat: Running, Answered, Done or Lost
-	answer      *Answer
-	until       time.Time     // zero while it runs
-	ended       chan struct{} // closed at the end of the first
+	verdict     Verdict // of a repeat: Running, Answered, Done or Lost
+	response    *Response
+	expiresAt   time.Time     // zero while the first request runs
+	ended       chan struct{} // closed when the first request ends
 }
 
-// table is the memory without goroutines and clock: now is passed in.
+// table is the state of a Local, without goroutines or a clock: now is passed in.
 type table struct {
-	limits  Limits
-	entries map[Key]*entry
-	ended   []*entry // in order of until
-	kept    int      // index into ended before which no answer is kept
-	bytes   int
+	limits    Limits
+	entries   map[Key]*entry
+	ended     []*entry // in order of expiresAt
+	firstKept int      // index into ended; no entry before it has a response
+	bytes     int
 }
 
 func newTable(limits Limits) *table {
@@ -63,7 +63,7 @@
 	if known, ok := t.entries[key]; ok {
 		return known, false, nil
 	}
-	if len(t.entries) >= t.limits.Entries {
+	if len(t.entries) >= t.limits.MaxKeys {
 		return nil, false, ErrFull
 	}
 	created := &entry{key: key, fingerprint: fingerprint, verdict: Running, ended: make(chan struct{})}
@@ -71,8 +71,8 @@
 	return created, true, nil
 }
 
-// end records how the first ended.
-func (t *table) end(e *entry, ending Ending, answer *Answer, now time.Time) {
+// end records how the first request ended.
+func (t *table) end(e *entry, ending Ending, response *Response, now time.Time) {
 	defer close(e.ended)
 	switch ending {
 	case EndedNotRun:
@@ -82,44 +82,45 @@
 		e.verdict = Lost
 	case EndedDone:
 		e.verdict = Done
-		t.keep(e, answer)
+		t.keepResponse(e, response)
 	}
-	e.until = now.Add(t.limits.Lifetime)
+	e.expiresAt = now.Add(t.limits.Lifetime)
 	t.ended = append(t.ended, e)
-	t.dropOldest()
+	t.dropOldestResponses()
 }
 
-func (t *table) keep(e *entry, answer *Answer) {
-	if answer == nil || answer.size() > min(t.limits.AnswerBytes, t.limits.TotalBytes) {
+func (t *table) keepResponse(e *entry, response *Response) {
+	if response == nil || response.size() > min(t.limits.MaxResponseBytes, t.limits.MaxTotalBytes) {
 		return
 	}
-	e.verdict, e.answer = Answered, answer
-	t.bytes += answer.size()
+	e.verdict, e.response = Answered, response
+	t.bytes += response.size()
 }
 
-// dropOldest drops answers, oldest first, until the rest is within the bound.
-func (t *table) dropOldest() {
-	for t.bytes > t.limits.TotalBytes {
-		t.drop(t.ended[t.kept])
-		t.kept++
+// dropOldestResponses drops responses, oldest first, until the rest is within
+// MaxTotalBytes.
+func (t *table) dropOldestResponses() {
+	for t.bytes > t.limits.MaxTotalBytes {
+		t.dropResponse(t.ended[t.firstKept])
+		t.firstKept++
 	}
 }
 
-func (t *table) drop(e *entry) {
-	if e.answer == nil {
+func (t *table) dropResponse(e *entry) {
+	if e.response == nil {
 		return
 	}
-	t.bytes -= e.answer.size()
-	e.verdict, e.answer = Done, nil
+	t.bytes -= e.response.size()
+	e.verdict, e.response = Done, nil
 }
 
-// expire forgets keys whose time is over.
+// expire removes keys whose lifetime is over.
 func (t *table) expire(now time.Time) {
-	for len(t.ended) > 0 && !t.ended[0].until.After(now) {
-		t.drop(t.ended[0])
+	for len(t.ended) > 0 && !t.ended[0].expiresAt.After(now) {
+		t.dropResponse(t.ended[0])
 		delete(t.entries, t.ended[0].key)
 		t.ended[0] = nil
 		t.ended = t.ended[1:]
-		t.kept = max(t.kept-1, 0)
+		t.firstKept = max(t.firstKept-1, 0)
 	}
 }
