--- a/internal/proxy/forward/activity.go
+++ b/internal/proxy/forward/activity.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// Activity counts what is in progress: requests, sessions and what they leave to
-// be cleaned up. The zero value has nothing in progress.
+// Activity counts the work in progress: requests, sessions and their cleanup. The zero
+// value has nothing in progress.
 type Activity struct {
 	mu     sync.Mutex
 	active int
-	idle   chan struct{} // closed when active falls to 0; nil while it is 0
+	idle   chan struct{} // closed when active falls to 0; nil while active is 0
 }
 
-// Begin counts one more.
+// Begin adds one to the work in progress.
 func (a *Activity) Begin() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -23,7 +23,7 @@
 	a.active++
 }
 
-// End counts one less.
+// End subtracts one from the work in progress.
 func (a *Activity) End() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -34,14 +34,15 @@
 	}
 }
 
-// Active returns how many are in progress.
+// Active returns the amount of work in progress.
 func (a *Activity) Active() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.active
 }
 
-// WaitIdle returns once nothing is in progress, or with ctx's error.
+// WaitIdle returns nil once nothing is in progress, or the error of ctx if that ends
+// first.
 func (a *Activity) WaitIdle(ctx context.Context) error {
 	a.mu.Lock()
 	idle := a.idle
--- a/internal/proxy/forward/deadline.go
+++ b/internal/proxy/forward/deadline.go
@@ -8,14 +8,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrDeadline is the cause of the end of a context whose request's time is over.
-var ErrDeadline = eris.New("the time of the request is over")
+// ErrDeadline is the cause of a context that was cancelled at its request's deadline.
+var ErrDeadline = eris.New("the deadline of the request has passed")
 
-// LongAgo as a deadline of a connection ends a read or write that waits.
+// LongAgo is a deadline in the past: set on a connection, it interrupts a blocked read
+// or write.
 var LongAgo = time.Unix(1, 0)
 
-// TimeOver reports whether the time of a request is over: by its deadline, or as
-// ErrDeadline has ended its context already.
+// TimeOver reports whether the deadline of a request has passed, or its context was
+// cancelled with ErrDeadline.
 func TimeOver(ctx context.Context, deadline time.Time) bool {
 	return errors.Is(context.Cause(ctx), ErrDeadline) || !time.Now().Before(deadline)
 }
--- a/internal/proxy/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -12,8 +12,8 @@
 	"github.com/winchhead/winchhead/internal/proxy/forward"
 )
 
-// pair returns both ends of a TCP connection.
-func pair(c *qt.C) (near, far net.Conn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(c *qt.C) (near, far net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
@@ -28,30 +28,31 @@
 	return near, far
 }
 
-// TestSend is the table of what may be written, and of what is proved afterwards.
+// TestSend checks when a connection may be written to, and what Seal and Used report
+// afterwards.
 func TestSend(t *testing.T) {
 	future := time.Now().Add(time.Hour)
 	closePeer := func(near, far net.Conn) {
 		_ = far.Close()
-		_, _ = near.Read(make([]byte, 1)) // returns once the close has arrived
+		_, _ = near.Read(make([]byte, 1)) // returns when the peer's close has arrived
 	}
 	for _, test := range []struct {
 		name    string
 		send    *forward.Send
-		arrange func(near, far net.Conn)
+		prepare func(near, far net.Conn)
 		allowed bool
 	}{
-		{"in time", forward.NewSend(future, nil), nil, true},
-		{"time over", forward.NewSend(time.Now(), nil), nil, false},
+		{"before the deadline", forward.NewSend(future, nil), nil, true},
+		{"deadline passed", forward.NewSend(time.Now(), nil), nil, false},
 		{"no longer allowed", forward.NewSend(future, func() bool { return false }), nil, false},
 		{"peer has closed", forward.NewSend(future, nil), closePeer, false},
-		{"none assigned", nil, nil, false},
+		{"no send assigned", nil, nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			near, far := pair(c)
-			if test.arrange != nil {
-				test.arrange(near, far)
+			near, far := tcpPair(c)
+			if test.prepare != nil {
+				test.prepare(near, far)
 			}
 			conn := forward.NewConn(near, true)
 			conn.Assign(test.send)
@@ -66,7 +67,8 @@
 	}
 }
 
-// TestSendUsesOneConnection has two connections and a seal race for one send.
+// Two connections and a call of Seal race for the same Send: at most one connection
+// may write, and Seal must report whether one did.
 func TestSendUsesOneConnection(t *testing.T) {
 	c := qt.New(t)
 	for range 100 {
@@ -75,7 +77,7 @@
 		var group sync.WaitGroup
 		for range 2 {
 			near, _ := net.Pipe()
-			conn := forward.NewConn(sink{near}, true)
+			conn := forward.NewConn(discardConn{near}, true)
 			conn.Assign(send)
 			group.Go(func() {
 				_, err := conn.Write([]byte("a booking"))
@@ -95,10 +97,10 @@
 	}
 }
 
-// sink is a connection that takes everything.
-type sink struct{ net.Conn }
+// discardConn is a connection that discards what is written.
+type discardConn struct{ net.Conn }
 
-func (sink) Write(data []byte) (int, error) { return len(data), nil }
+func (discardConn) Write(data []byte) (int, error) { return len(data), nil }
 
 func TestRequestHeader(t *testing.T) {
 	c := qt.New(t)
--- a/internal/proxy/forward/headers.go
+++ b/internal/proxy/forward/headers.go
@@ -1,6 +1,6 @@
-// Package forward owns what a proxy does with each HTTP message that it passes
-// on: the headers of one connection, 1xx answers, the two directions of a session,
-// and the proof of whether anything of a request was sent.
+// Package forward implements what both proxies do with each HTTP message that they
+// forward: hop-by-hop headers, 1xx responses, the two directions of a session, and the
+// proof whether any byte of a request was sent.
 package forward
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// Names of headers that a proxy handles itself.
+// Names of headers that the proxies handle themselves.
 const (
 	HeaderConnection       = "Connection"
 	HeaderContentType      = "Content-Type"
@@ -28,14 +28,14 @@
 	mediaEventStream = "text/event-stream"
 )
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
+// hopByHop are the headers that apply to a single connection only (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	HeaderConnection, "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	HeaderTE, HeaderTrailer, HeaderTransferEncoding, HeaderUpgrade,
 }
 
-// RemoveHopByHop removes the headers of one connection, those that the
-// Connection header lists included.
+// RemoveHopByHop removes the hop-by-hop headers, including those that the Connection
+// header lists.
 func RemoveHopByHop(header http.Header) {
 	for _, line := range header[HeaderConnection] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -47,8 +47,7 @@
 	}
 }
 
-// HasToken reports whether a comma-separated header holds the token, without
-// regard to case.
+// HasToken reports whether a comma-separated header contains the token, ignoring case.
 func HasToken(values []string, token string) bool {
 	for _, line := range values {
 		for part := range strings.SplitSeq(line, ",") {
@@ -68,18 +67,18 @@
 	return header.Get(HeaderUpgrade)
 }
 
-// IsEventStream reports whether an answer with this header is a stream of
-// server-sent events.
+// IsEventStream reports whether a response with this header is a stream of server-sent
+// events.
 func IsEventStream(header http.Header) bool {
 	media, _, err := mime.ParseMediaType(header.Get(HeaderContentType))
 	return err == nil && media == mediaEventStream
 }
 
-// RequestHeader returns what of a received request's header goes on to the next
-// hop: nothing of the connection but an Upgrade, and nothing internal. The values
-// are shared with the received header.
+// RequestHeader returns the part of a received request header that is forwarded to the
+// next hop: without internal headers and without hop-by-hop headers other than an
+// Upgrade and "TE: trailers". The values are shared with the received header.
 func RequestHeader(received http.Header) http.Header {
-	const added = 6 // room for what the proxy adds
+	const added = 6 // capacity for the headers that the proxy adds
 	header := make(http.Header, len(received)+added)
 	for name, values := range received {
 		if !outcome.IsInternal(name) {
@@ -97,15 +96,15 @@
 		header[HeaderTE] = []string{tokenTrailers}
 	}
 	if _, present := header[HeaderUserAgent]; !present {
-		header[HeaderUserAgent] = []string{""} // keeps net/http from adding its own
+		header[HeaderUserAgent] = []string{""} // prevents net/http from adding its own
 	}
 	return header
 }
 
-// PassAnswerHeader adds an answer's header to that of the next hop, without what
-// concerns the connection or only nodes. from is changed. Internal headers and a
-// Connection header that the next hop has already stay.
-func PassAnswerHeader(to, from http.Header) {
+// CopyForwardableHeader adds a response header to that of the next hop, without
+// hop-by-hop and internal headers. It modifies from. Internal headers and a Connection
+// header that are already set for the next hop stay.
+func CopyForwardableHeader(to, from http.Header) {
 	RemoveHopByHop(from)
 	outcome.StripInternal(from)
 	for name, values := range from {
--- a/internal/proxy/forward/informer.go
+++ b/internal/proxy/forward/informer.go
@@ -7,23 +7,23 @@
 	"sync"
 )
 
-// Informer passes 1xx answers on until the final answer begins. A transport calls
-// it from its own goroutine.
+// Informer forwards 1xx responses until the final response begins. The transport calls
+// it from a goroutine of its own.
 type Informer struct {
 	mu      sync.Mutex
 	stopped bool
 	writer  http.ResponseWriter
 }
 
-// NewInformer returns an informer for the answer to r, which passes nothing on to
-// a caller of HTTP/1.0.
+// NewInformer returns an Informer for the response to r. It forwards nothing to an
+// HTTP/1.0 client, which does not know 1xx responses.
 func NewInformer(w http.ResponseWriter, r *http.Request) *Informer {
 	return &Informer{writer: w, stopped: !r.ProtoAtLeast(1, 1)}
 }
 
-// Pass sends one 1xx answer on; it has the form of
-// httptrace.ClientTrace.Got1xxResponse. "100 Continue" is not passed: net/http
-// sends it when the next hop has asked for the body.
+// Pass forwards one 1xx response; it has the signature of
+// httptrace.ClientTrace.Got1xxResponse. It does not forward "100 Continue": net/http
+// sends that when the transport reads the body, which the next hop has asked for then.
 func (i *Informer) Pass(status int, from textproto.MIMEHeader) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -32,14 +32,15 @@
 	}
 	header := i.writer.Header()
 	before := maps.Clone(header)
-	PassAnswerHeader(header, http.Header(from))
+	CopyForwardableHeader(header, http.Header(from))
 	i.writer.WriteHeader(status)
 	clear(header)
 	maps.Copy(header, before)
 	return nil
 }
 
-// Stop ends the passing on. Call it before the final answer's header is touched.
+// Stop ends the forwarding. Call it before the header of the final response is
+// modified.
 func (i *Informer) Stop() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/proxy/forward/peer_linux.go
+++ b/internal/proxy/forward/peer_linux.go
@@ -7,17 +7,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// The states of a TCP connection whose peer has closed or reset it, as in
-// TCP_INFO (include/net/tcp_states.h).
+// States of a TCP connection whose peer has closed or reset it, as in TCP_INFO
+// (include/net/tcp_states.h).
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
 	tcpLastAck   = 9
 )
 
-// PeerClosed reports whether the peer has ended its direction of a TCP connection,
-// or reset it, even if bytes from before wait to be read. It is false for other
-// connections and where the system cannot tell.
+// PeerClosed reports whether the peer of a TCP connection has closed its sending
+// direction or reset the connection, even if earlier bytes are still unread. It
+// returns false for other connections and if the kernel cannot tell.
 func PeerClosed(conn net.Conn) bool {
 	raw, ok := rawConn(conn)
 	if !ok {
--- a/internal/proxy/forward/peer_other.go
+++ b/internal/proxy/forward/peer_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// PeerClosed reports false: this system does not tell.
+// PeerClosed returns false, as the state is not available on this platform.
 func PeerClosed(net.Conn) bool { return false }
--- a/internal/proxy/forward/server.go
+++ b/internal/proxy/forward/server.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// idleTimeout ends unused connections. It is well above the 30 s after which the
-// outbound proxy closes those to inbound proxies, so that the side that sends
-// closes them and no request meets a connection that is being closed.
+// idleTimeout closes unused connections. It is well above the 30 s after which the
+// outbound proxy closes its connections to inbound proxies, so that the sending side
+// closes first and no request is sent on a connection that is being closed.
 const idleTimeout = 2 * time.Minute
 
-// NewServer returns a server of HTTP/1 with what both proxies have in common. The
-// caller adds the limits of headers and what belongs to a connection.
+// NewServer returns an HTTP/1 server with the settings that both proxies share. The
+// caller adds the header limits and the connection context.
 //
-// net/http itself answers what it cannot take for a request: a malformed request
-// line or header, another HTTP version, transfer coding or expectation than it
-// knows, a header beyond its limit. These answers close the connection and carry
-// no outcome header, as there is no hook for them; no handler was called, so
-// nothing of the request went on.
+// net/http itself responds to what it cannot parse as a request: a malformed request
+// line or header, an unknown HTTP version, transfer coding or expectation, or a header
+// beyond its limit. These responses close the connection and have no outcome header,
+// as net/http has no hook for them; no handler was called, so nothing of the request
+// was forwarded.
 func NewServer(handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -27,7 +27,7 @@
 		Handler:     handler,
 		Protocols:   protocols,
 		IdleTimeout: idleTimeout,
-		// The library's reports are about single broken connections of senders.
+		// net/http logs errors of single connections only.
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
 }
--- a/internal/proxy/forward/session.go
+++ b/internal/proxy/forward/session.go
@@ -12,33 +12,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// Duplex is a connection whose sending direction can end by itself.
-type Duplex interface {
+// HalfCloseConn is a connection whose sending direction can be closed separately.
+type HalfCloseConn interface {
 	io.ReadWriteCloser
 	CloseWrite() error
 }
 
-// Upgraded returns the connection to the instance that a 101 answer leaves, or
-// false if the answer switches to another protocol than the one asked for.
-func Upgraded(response *http.Response, asked string) (Duplex, bool) {
-	instance, ok := response.Body.(Duplex)
-	if !ok || asked == "" || !strings.EqualFold(UpgradeProtocol(response.Header), asked) {
+// Upgraded returns the connection to the instance after a 101 response, or false if
+// the response switches to a protocol other than the requested one.
+func Upgraded(response *http.Response, requestedProtocol string) (HalfCloseConn, bool) {
+	instance, ok := response.Body.(HalfCloseConn)
+	if !ok || requestedProtocol == "" || !strings.EqualFold(UpgradeProtocol(response.Header), requestedProtocol) {
 		return nil, false
 	}
 	return instance, true
 }
 
-// TakeOver takes the caller's connection from net/http and answers the upgrade
-// with the header of a 101 answer and the headers set on w.
-func TakeOver(w http.ResponseWriter, response *http.Response) (Duplex, error) {
+// TakeOver hijacks the caller's connection from net/http and writes the 101 response,
+// with its header and the headers set on w.
+func TakeOver(w http.ResponseWriter, response *http.Response) (HalfCloseConn, error) {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return nil, eris.Wrap(err, "take over the caller's connection")
+		return nil, eris.Wrap(err, "hijack the caller's connection")
 	}
 	_ = conn.SetDeadline(time.Time{})
 	protocol := response.Header.Get(HeaderUpgrade)
 	header := w.Header().Clone()
-	PassAnswerHeader(header, response.Header)
+	CopyForwardableHeader(header, response.Header)
 	header.Set(HeaderConnection, HeaderUpgrade)
 	header.Set(HeaderUpgrade, protocol)
 	head := &http.Response{
@@ -46,20 +46,20 @@
 	}
 	if err := head.Write(conn); err != nil {
 		_ = conn.Close()
-		return nil, eris.Wrap(err, "answer the upgrade")
+		return nil, eris.Wrap(err, "write the response to the upgrade")
 	}
 	return &hijackedConn{Conn: conn, buffered: buffered.Reader}, nil
 }
 
-// hijackedConn is a hijacked connection, with what net/http had read ahead.
+// hijackedConn is a hijacked connection with the bytes that net/http had read ahead.
 type hijackedConn struct {
 	net.Conn
 	buffered *bufio.Reader
 }
 
-// Read returns what was read ahead first, then reads from the connection itself:
-// net/http's reader would cancel the request's context at the end of the caller's
-// direction, and with it the other direction.
+// Read returns the bytes that were read ahead, then reads from the connection itself:
+// net/http's reader would cancel the request's context when the caller closes its
+// sending direction, and thereby end the other direction.
 func (c *hijackedConn) Read(data []byte) (int, error) {
 	if ahead := c.buffered.Buffered(); ahead > 0 {
 		return c.buffered.Read(data[:min(ahead, len(data))])
@@ -67,20 +67,21 @@
 	return c.Conn.Read(data)
 }
 
-// CloseWrite ends the direction to the caller.
+// CloseWrite closes the direction to the caller.
 func (c *hijackedConn) CloseWrite() error { return closeWrite(c.Conn) }
 
 func closeWrite(conn net.Conn) error {
 	half, ok := conn.(interface{ CloseWrite() error })
 	if !ok {
-		return eris.New("the connection cannot end one direction")
+		return eris.New("the connection does not support half-close")
 	}
 	return half.CloseWrite()
 }
 
-// Relay copies both ways until both directions have ended. The end of one is
-// passed on and leaves the other open; an error closes both.
-func Relay(one, other Duplex) {
+// Relay copies in both directions until both have ended. When one direction ends, its
+// target's sending direction is closed and the other direction continues; an error
+// closes both connections.
+func Relay(one, other HalfCloseConn) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -90,7 +91,7 @@
 	<-done
 }
 
-func copyDirection(target, source Duplex) {
+func copyDirection(target, source HalfCloseConn) {
 	_, err := io.Copy(onlyWriter{target}, onlyReader{source})
 	if err == nil {
 		err = target.CloseWrite()
@@ -101,14 +102,15 @@
 	}
 }
 
-// onlyWriter and onlyReader hide faster ways of copying, which would bypass the
-// read-ahead of a hijackedConn and the checks of a Conn.
+// onlyWriter and onlyReader hide optional methods (io.ReaderFrom, io.WriterTo) that
+// io.Copy would use and that would bypass the bytes read ahead of a hijackedConn and
+// the checks of a Conn.
 type onlyWriter struct{ io.Writer }
 
 type onlyReader struct{ io.Reader }
 
-// CloseWith closes the ends of a session once ctx has ended. stop undoes it, as
-// context.AfterFunc does.
+// CloseWith closes the connections of a session when ctx ends. stop cancels that, as
+// for context.AfterFunc.
 func CloseWith(ctx context.Context, ends ...io.Closer) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		for _, end := range ends {
--- a/internal/proxy/inbound/idempotency.go
+++ b/internal/proxy/inbound/idempotency.go
@@ -112,7 +112,7 @@
 		return
 	}
 	header := make(http.Header, len(response.Header))
-	forward.PassAnswerHeader(header, response.Header.Clone())
+	forward.CopyForwardableHeader(header, response.Header.Clone())
 	e.recorded = &repeat.Response{Status: response.StatusCode, Header: header}
 }
 
