--- a/internal/proxy/inbound/admit.go
+++ b/internal/proxy/inbound/admit.go
@@ -79,8 +79,8 @@
 	return &problem
 }
 
-// checkTarget refuses requests that are meant for another process. Every node sets the
-// header, so a request without it does not come from a node.
+// checkTarget refuses requests that are meant for another process. All nodes, and only
+// nodes, set the header, so a request without it does not come from a node.
 func (p *Proxy) checkTarget(r *http.Request) *outcome.Problem {
 	targets := r.Header.Values(outcome.HeaderTarget)
 	target := p.target()
@@ -119,7 +119,7 @@
 // the connection when the request is about to be sent.
 func (e *exchange) receiveShortBody() *outcome.Problem {
 	length := e.request.ContentLength
-	if e.body == nil || e.firstRun != nil { // its body was read for the fingerprint
+	if e.body == nil || e.firstRun != nil { // the body was read for the fingerprint
 		return nil
 	}
 	if length < 0 || length > shortBodyBytes || e.request.Header.Get("Expect") != "" {
