--- a/internal/proxy/outbound/admit.go
+++ b/internal/proxy/outbound/admit.go
@@ -12,10 +12,10 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// admit checks a request before anything is sent: whatever it refuses did not
-// run. On success the exchange must be ended with end.
+// admit validates a request before anything is sent, so a request that it
+// refuses has not run. On success the caller must call end on the exchange.
 func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, started time.Time) (*exchange, *outcome.Problem) {
-	if problem := p.checkForm(r); problem != nil {
+	if problem := p.validateRequest(r); problem != nil {
 		return nil, problem
 	}
 	current := p.snapshots.Current()
@@ -27,7 +27,7 @@
 	if route == nil {
 		return nil, refusal(outcome.ReasonNoRoute, "")
 	}
-	timeout, problem := timeoutOf(r, route)
+	timeout, problem := requestTimeout(r, route)
 	if problem != nil {
 		return nil, problem
 	}
@@ -43,14 +43,14 @@
 	return &problem
 }
 
-// checkForm refuses what no route could take.
-func (p *Proxy) checkForm(r *http.Request) *outcome.Problem {
+// validateRequest refuses requests that are invalid on every route.
+func (p *Proxy) validateRequest(r *http.Request) *outcome.Problem {
 	switch {
 	case r.Method == http.MethodConnect || r.Method == http.MethodTrace:
 		problem := refusal(outcome.ReasonBadRequest, "the method is not supported")
 		problem.Status = http.StatusMethodNotAllowed
 		return problem
-	case !isPlainTarget(r.URL):
+	case !isUnambiguousTarget(r.URL):
 		return refusal(outcome.ReasonBadRequest, "the request target must be a path, or an http URL, without dot segments")
 	case p.settings.MaxHeaderBytes > 0 && headerBytes(r) > p.settings.MaxHeaderBytes:
 		problem := refusal(outcome.ReasonTooLarge, "the header is too large")
@@ -63,9 +63,10 @@
 	}
 }
 
-// isPlainTarget reports whether the target means the same to a route and to a
-// back end. Dot segments do not: they would let a request past a path prefix.
-func isPlainTarget(target *url.URL) bool {
+// isUnambiguousTarget reports whether route matching and backends interpret the
+// target alike. Targets with dot segments are ambiguous: a backend may resolve
+// them to a path outside the prefix that the route matched.
+func isUnambiguousTarget(target *url.URL) bool {
 	switch target.Scheme {
 	case "", "http", "https":
 	default:
@@ -82,7 +83,7 @@
 	return true
 }
 
-// headerBytes is the size of the request line and the header fields as sent.
+// headerBytes returns the size of the request line and the header fields as sent.
 func headerBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(r.Proto)
@@ -94,8 +95,9 @@
 	return size
 }
 
-// timeoutOf is the time of the route, or less when the caller asked for less.
-func timeoutOf(r *http.Request, route *snapshot.Route) (time.Duration, *outcome.Problem) {
+// requestTimeout returns the timeout of the route, or that of the caller if it is
+// shorter.
+func requestTimeout(r *http.Request, route *snapshot.Route) (time.Duration, *outcome.Problem) {
 	text := r.Header.Get(outcome.HeaderTimeout)
 	if text == "" {
 		return route.Timeout, nil
@@ -110,17 +112,18 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// requestHeader is the header for the instance, except for what differs between
-// attempts. The secrets of the route replace what the caller sent.
+// requestHeader returns the header that every attempt sends to an instance. Fields
+// that differ between attempts are added later. The secrets of the route replace
+// fields of the same name that the caller sent.
 func requestHeader(r *http.Request, current *snapshot.Snapshot, route *snapshot.Route) (http.Header, *outcome.Problem) {
 	header := forward.RequestHeader(r.Header)
 	delete(header, outcome.HeaderTimeout)
-	for _, wanted := range route.Secrets {
-		secret, held := current.Secret(wanted.Secret)
-		if !held {
+	for _, reference := range route.Secrets {
+		secret, found := current.Secret(reference.Secret)
+		if !found {
 			return nil, refusal(outcome.ReasonNoConfiguration, "a secret of the route is missing")
 		}
-		header.Set(wanted.Header, wanted.Prefix+secret.Value)
+		header.Set(reference.Header, reference.Prefix+secret.Value)
 	}
 	header[outcome.HeaderRoute] = []string{route.Name}
 	return header, nil
--- a/internal/proxy/outbound/affinity.go
+++ b/internal/proxy/outbound/affinity.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// keyLifetime is how long this node remembers where a key was sent.
+	// keyLifetime is how long this node keeps the process that a key was sent to.
 	keyLifetime = 10 * time.Minute
-	// keyCapacity bounds the keys remembered; the oldest are forgotten first.
+	// keyCapacity is the maximum number of keys in the cache; the oldest are
+	// evicted first.
 	keyCapacity = 32768
 )
 
-// pin ties a request with an Idempotency-Key, that may run only once, to the
-// instance that remembers the key. Without a memory of its own, each node finds
-// the same instance by rendezvous hash over the instances not suspected.
+// pin binds a request that has an Idempotency-Key and may run only once to the
+// instance that remembers the key. A node that has no cache entry for the key uses
+// rendezvous hashing over the instances that are not suspected, so that all nodes
+// choose the same instance.
 type pin struct {
 	hash uint64
-	// added tells that this request was the first with the key on this node.
-	added bool
+	// recorded is set if this request added the key to the cache.
+	recorded bool
 }
 
 func newPin(route, key string) *pin {
 	return &pin{hash: xxhash.Sum64String(route + "\x00" + key)}
 }
 
-// drawPoint returns a number below total, the same each time for a pinned
-// request.
+// drawPoint returns a number in [0, total): derived from the key for a pinned
+// request, random otherwise.
 func (e *exchange) drawPoint(total int) int {
 	if e.pin != nil {
 		return int(e.pin.hash % uint64(total))
@@ -40,10 +42,11 @@
 	return rand.IntN(total)
 }
 
-// pickPinned takes the instance that the key was sent to before, or its owner.
+// pickPinned returns the instance that the key was sent to before, or else the
+// owner of the key.
 func (e *exchange) pickPinned(view *membership.View) (*balance.Choice, *outcome.Problem) {
 	now := time.Now()
-	e.forgetUnlessSent()
+	e.forgetUnsentKey()
 	remembered, known := e.proxy.keys.lookup(e.pin.hash, now)
 	if known {
 		endpoint, present := findProcess(view, e.service, remembered)
@@ -52,7 +55,9 @@
 			return nil, &problem
 		}
 		if e.attempts > 0 {
-			return nil, nil // it refused as draining just now, and may remember others
+			// The instance has just refused this request because it is draining. It
+			// may have run an earlier request with the key, so no other may run this one.
+			return nil, nil
 		}
 		return e.proxy.balancer.PickExactly(e.service, endpoint), nil
 	}
@@ -60,22 +65,23 @@
 	if !found {
 		return nil, nil
 	}
-	e.pin.added = true
-	e.proxy.keys.remember(e.pin.hash, balance.KeyOf(owner), now)
+	e.pin.recorded = true
+	e.proxy.keys.put(e.pin.hash, balance.KeyOf(owner), now)
 	return e.proxy.balancer.PickExactly(e.service, owner), nil
 }
 
-// forgetUnlessSent drops the memory that this request made, as pickPinned is
-// called again only after a refusal that lets another instance take the request.
-func (e *exchange) forgetUnlessSent() {
-	if e.pin.added {
-		e.proxy.keys.forget(e.pin.hash)
-		e.pin.added = false
+// forgetUnsentKey removes the cache entry that this request added. pickPinned is
+// called again only after a refusal that allows another instance to run the
+// request.
+func (e *exchange) forgetUnsentKey() {
+	if e.pin.recorded {
+		e.proxy.keys.remove(e.pin.hash)
+		e.pin.recorded = false
 	}
 }
 
-// ownerOf returns the instance with the highest hash together with the key.
-// Suspected instances count only when there are no others.
+// ownerOf returns the instance with the highest combined hash of key and node.
+// Suspected instances are considered only when there are no others.
 func ownerOf(hash uint64, endpoints []membership.Endpoint, tried []balance.Key) (membership.Endpoint, bool) {
 	var owner membership.Endpoint
 	var best uint64
@@ -84,7 +90,7 @@
 		if wasTried(endpoint, tried) {
 			continue
 		}
-		score := mix(hash ^ xxhash.Sum64String(string(endpoint.Node)))
+		score := mixBits(hash ^ xxhash.Sum64String(string(endpoint.Node)))
 		better := score > best || !found
 		if found && owner.Suspected != endpoint.Suspected {
 			better = owner.Suspected
@@ -105,15 +111,16 @@
 	return false
 }
 
-// mix spreads the bits of a hash (the finalizer of splitmix64).
-func mix(value uint64) uint64 {
+// mixBits is the finalizer of splitmix64. It makes each bit of the result depend on
+// all bits of value.
+func mixBits(value uint64) uint64 {
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
 	value = (value ^ value>>27) * 0x94d049bb133111eb
 	return value ^ value>>31
 }
 
-// findProcess returns the endpoint of one process as long as it has not ended.
-// A draining one still answers for the keys it remembers.
+// findProcess returns the endpoint of a process unless the process has ended. A
+// draining process can still answer requests with keys that it remembers.
 func findProcess(view *membership.View, service string, key balance.Key) (membership.Endpoint, bool) {
 	for _, endpoint := range view.Endpoints(service) {
 		if balance.KeyOf(endpoint) == key {
@@ -131,26 +138,26 @@
 	}, true
 }
 
-// keyMemory remembers which process each key was sent to. It is bounded in time
-// and number and safe for concurrent use.
-type keyMemory struct {
+// keyCache stores which process each key was sent to. Its entries expire, their
+// number is bounded, and it is safe for concurrent use.
+type keyCache struct {
 	mu      sync.Mutex
 	entries map[uint64]keyEntry
-	order   []uint64 // ring of the hashes as remembered
-	next    int      // slot of order that is used next
+	order   []uint64 // ring buffer of hashes in the order of insertion
+	next    int      // index in order of the next insertion
 }
 
 type keyEntry struct {
 	process balance.Key
 	until   time.Time
-	slot    int // in order
+	slot    int // index in keyCache.order
 }
 
-func newKeyMemory() *keyMemory {
-	return &keyMemory{entries: make(map[uint64]keyEntry)}
+func newKeyCache() *keyCache {
+	return &keyCache{entries: make(map[uint64]keyEntry)}
 }
 
-func (m *keyMemory) lookup(hash uint64, now time.Time) (balance.Key, bool) {
+func (m *keyCache) lookup(hash uint64, now time.Time) (balance.Key, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	entry, ok := m.entries[hash]
@@ -160,15 +167,15 @@
 	return entry.process, true
 }
 
-func (m *keyMemory) remember(hash uint64, process balance.Key, now time.Time) {
+func (m *keyCache) put(hash uint64, process balance.Key, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	slot := m.takeSlot(hash)
 	m.entries[hash] = keyEntry{process: process, until: now.Add(keyLifetime), slot: slot}
 }
 
-// takeSlot returns the slot for a hash and forgets the key that held it last.
-func (m *keyMemory) takeSlot(hash uint64) int {
+// takeSlot returns the slot for a hash and evicts the key that used it before.
+func (m *keyCache) takeSlot(hash uint64) int {
 	slot := m.next
 	m.next = (m.next + 1) % keyCapacity
 	if slot == len(m.order) {
@@ -183,7 +190,7 @@
 	return slot
 }
 
-func (m *keyMemory) forget(hash uint64) {
+func (m *keyCache) remove(hash uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.entries, hash)
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -17,33 +17,34 @@
 
 const (
 	schemeHTTP = "http"
-	// discardLimit is how much of a refusal's document is read to keep the
-	// connection in use.
+	// discardLimit is how much of the body of a refusal is read, so that the
+	// connection can be reused.
 	discardLimit = 4 << 10
-	// stallTime is how long an attempt must have lasted for its missed deadline
-	// to count against the instance: below, the caller may just be in a hurry.
-	stallTime = 500 * time.Millisecond
+	// stallThreshold is how long an attempt must have lasted for a missed deadline
+	// to count as a failure of the instance. In a shorter attempt the caller's
+	// timeout may simply have been too short.
+	stallThreshold = 500 * time.Millisecond
 )
 
-// maxStaleConnections bounds how many unused connections that the instance had
-// closed one attempt may meet.
+// maxStaleConnections is how many times one attempt is sent again because the instance
+// had closed the idle connection that was used.
 const maxStaleConnections = 4
 
-// attemptResult is either the answer of a back end or a failure.
+// attemptResult is either the response of a backend or a failure.
 type attemptResult struct {
 	response *http.Response // nil on failure
 	problem  outcome.Problem
 }
 
-// attempt sends the request once. On an answer the choice stays open until the
-// answer was passed on; on a failure it is done.
+// attempt sends the request to one instance. If there is a response, the choice stays
+// open until the response has been forwarded; after a failure it is done.
 func (e *exchange) attempt(choice *balance.Choice) attemptResult {
 	e.attempts++
 	e.tried = append(e.tried, balance.KeyOf(choice.Endpoint))
 	started := time.Now()
 	sent := e.send(choice.Endpoint)
 	for range maxStaleConnections {
-		if !sent.metStaleConnection() || !e.mayResend() {
+		if !sent.failedOnStaleConnection() || !e.mayResend() {
 			break
 		}
 		sent = e.send(choice.Endpoint)
@@ -55,8 +56,8 @@
 		return attemptResult{problem: problem}
 	}
 	e.readHints(sent.response.Header, choice, now)
-	problem, bySystem := outcome.FromResponse(sent.response)
-	if !bySystem {
+	problem, fromProxy := outcome.FromResponse(sent.response)
+	if !fromProxy {
 		return attemptResult{response: sent.response}
 	}
 	_, _ = io.CopyN(io.Discard, sent.response.Body, discardLimit)
@@ -66,22 +67,22 @@
 	return attemptResult{problem: problem}
 }
 
-// sendResult is how one round trip ended: with a response, or with err.
+// sendResult is the result of one round trip: a response or an error.
 type sendResult struct {
 	response *http.Response
 	err      error
-	// mayHaveRun is false when it is proved that nothing was sent.
+	// mayHaveRun is false only if it is certain that nothing was sent.
 	mayHaveRun bool
-	// reused tells that the connection had carried another request before.
+	// reused is set if the connection had carried another request before.
 	reused bool
 }
 
-// metStaleConnection reports whether the instance had closed an unused
-// connection, which says nothing about the instance.
-func (r sendResult) metStaleConnection() bool { return r.err != nil && !r.mayHaveRun && r.reused }
+// failedOnStaleConnection reports whether the round trip failed because the instance
+// had closed an idle connection, which does not indicate a fault of the instance.
+func (r sendResult) failedOnStaleConnection() bool { return r.err != nil && !r.mayHaveRun && r.reused }
 
-// mayResend reports whether the request can be sent on another connection after
-// nothing of it was sent.
+// mayResend reports whether the request can be sent on another connection after a
+// round trip in which nothing of it was sent.
 func (e *exchange) mayResend() bool {
 	return e.ctx.Err() == nil && (e.body == nil || e.body.rewind())
 }
@@ -89,7 +90,7 @@
 func (e *exchange) send(endpoint membership.Endpoint) sendResult {
 	current := forward.NewSend(e.deadline, nil)
 	var result sendResult
-	request := e.outgoing(current, endpoint, &result.reused)
+	request := e.newOutgoingRequest(current, endpoint, &result.reused)
 	result.response, result.err = e.proxy.transport.RoundTrip(request)
 	if result.err != nil {
 		result.mayHaveRun = current.Seal()
@@ -97,21 +98,21 @@
 	return result
 }
 
-// finish ends a choice with what it told about the instance.
+// finish marks a choice as done and records what was observed about the instance.
 func (e *exchange) finish(choice *balance.Choice, observed balance.Observation, now time.Time) {
 	if !choice.Done(observed, now) {
 		return
 	}
 	e.proxy.metrics.ejections.Inc()
-	e.proxy.logger.WithField("instance", choice.Endpoint.Node).Warn("instance ejected after failures in a row")
+	e.proxy.logger.WithField("instance", choice.Endpoint.Node).Warn("instance ejected after consecutive failures")
 }
 
-// outgoing is the request as sent to one instance. reused is set when it gets a
-// connection.
-func (e *exchange) outgoing(current *forward.Send, endpoint membership.Endpoint, reused *bool) *http.Request {
+// newOutgoingRequest returns the request to send to one instance. reused is set as
+// soon as the request has a connection.
+func (e *exchange) newOutgoingRequest(current *forward.Send, endpoint membership.Endpoint, reused *bool) *http.Request {
 	header := e.header
 	if e.sends > 0 {
-		header = maps.Clone(header) // the send before may still read its own
+		header = maps.Clone(header) // the previous round trip may still read its header
 	}
 	e.sends++
 	remaining := []string{""}
@@ -128,11 +129,11 @@
 	if e.body != nil {
 		request.Body = e.body.open()
 		request.ContentLength = e.request.ContentLength
-		request.Trailer = e.body.trailers
+		request.Trailer = e.body.sentTrailers
 	}
 	trace := &httptrace.ClientTrace{
-		// The header is written after this call: the time left is then exact,
-		// however long the connection took.
+		// The header is written after this call, so the time that it took to get
+		// the connection is not counted as remaining.
 		GotConn: func(info httptrace.GotConnInfo) {
 			remaining[0] = outcome.Remaining(e.deadline)
 			*reused = info.Reused
@@ -143,7 +144,7 @@
 	return request.WithContext(httptrace.WithClientTrace(e.ctx, trace))
 }
 
-// readHints takes over what an answer tells about its instance.
+// readHints records the load and the state that a response reports for its instance.
 func (e *exchange) readHints(header http.Header, choice *balance.Choice, now time.Time) {
 	if load, err := strconv.ParseFloat(header.Get(outcome.HeaderLoad), 64); err == nil {
 		choice.Report(load, now)
@@ -154,14 +155,14 @@
 	}
 }
 
-// classify tells why there is no answer, and whether the request may have run.
+// classify returns why there is no response and whether the request may have run.
 func (e *exchange) classify(mayHaveRun bool) outcome.Problem {
 	result := outcome.NotRun
 	if mayHaveRun {
 		result = outcome.Unknown
 	}
 	if e.body != nil {
-		switch failed := e.body.failure(); {
+		switch failed := e.body.callerError(); {
 		case errors.Is(failed, errBodyTooLarge):
 			return outcome.New(outcome.ReasonTooLarge, result, "the body is too large")
 		case failed != nil:
@@ -178,10 +179,11 @@
 	}
 }
 
-// observationOf is what a failed attempt tells about the instance.
+// observationOf returns the observation of the instance that follows from a failed
+// attempt.
 func (e *exchange) observationOf(problem outcome.Problem, lasted time.Duration) balance.Observation {
 	if e.request.Context().Err() != nil {
-		return balance.Cancelled // the caller ended it, not the instance
+		return balance.Cancelled // the caller ended the request
 	}
 	switch problem.Reason {
 	case outcome.ReasonConnect, outcome.ReasonBroken:
@@ -191,7 +193,7 @@
 	case outcome.ReasonOverloaded:
 		return balance.Refused
 	case outcome.ReasonDeadline:
-		if problem.Outcome == outcome.Unknown && lasted >= stallTime {
+		if problem.Outcome == outcome.Unknown && lasted >= stallThreshold {
 			return balance.Failed
 		}
 		return balance.Cancelled
--- a/internal/proxy/outbound/bench_test.go
+++ b/internal/proxy/outbound/bench_test.go
@@ -10,18 +10,18 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// BenchmarkRequest compares a request sent to an instance with one sent through
-// the proxy; the difference is what the proxy costs. Client and instance run in
-// the same process and count in both.
+// BenchmarkRequest measures a request sent directly to an instance and one sent
+// through the proxy; the difference is the cost of the proxy. Client and instance run
+// in the same process and are included in both.
 func BenchmarkRequest(b *testing.B) {
 	instance := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()[outcome.HeaderLoad] = []string{"0.25"}
 		_, _ = io.WriteString(w, "done")
 	}))
 	defer instance.Close()
-	r := newRig(b)
+	r := newHarness(b)
 	r.configure(nil)
-	r.member("a", instance.Listener.Addr().String(), membership.StateReady)
+	r.addMember("a", instance.Listener.Addr().String(), membership.StateReady)
 	for name, address := range map[string]string{
 		"direct": instance.Listener.Addr().String(), "proxied": r.address,
 	} {
--- a/internal/proxy/outbound/body_test.go
+++ b/internal/proxy/outbound/body_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever each attempt reads before it fails, the next one reads the whole body
-// from its start, or the body says that it cannot.
+// However much an attempt reads before it fails, the next one can read the whole body
+// from its start, or rewind reports that it cannot.
 func TestBodyIsWholeForEachAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		size := rapid.SampledFrom([]int{0, 1, 1000, replayLimit - 1, replayLimit, replayLimit + 1, 3 * replayLimit}).Draw(t, "size")
+		size := rapid.SampledFrom([]int{0, 1, 1000, maxReplayBytes - 1, maxReplayBytes, maxReplayBytes + 1, 3 * maxReplayBytes}).Draw(t, "size")
 		content := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
 		body := newReplayBody(iotest.HalfReader(bytes.NewReader(content)), 0)
 		if rapid.Bool().Draw(t, "large reads") {
@@ -31,14 +31,14 @@
 			}
 			most = max(most, part)
 			again := body.rewind()
-			if again != (most <= replayLimit) {
-				t.Fatalf("after %d bytes: can be sent again: %v", most, again)
+			if again != (most <= maxReplayBytes) {
+				t.Fatalf("rewind after %d bytes returned %v", most, again)
 			}
 			if !again {
 				return
 			}
 			if _, err := reader.Read(make([]byte, 1)); !errors.Is(err, errBodyDetached) {
-				t.Fatalf("a late read took from the caller: %v", err)
+				t.Fatalf("a read of a detached reader returned %v", err)
 			}
 		}
 		got, err := io.ReadAll(body.open())
@@ -48,7 +48,7 @@
 	})
 }
 
-// gatedReader tells when it is read, and then brings what the test gives.
+// gatedReader signals each read on entered and returns the next value of pieces.
 type gatedReader struct {
 	entered chan struct{}
 	pieces  chan string
@@ -63,8 +63,8 @@
 	return copy(data, piece), nil
 }
 
-// What a read of a failed attempt brings late is for the next attempt.
-func TestBodyKeepsALateRead(t *testing.T) {
+// Data that arrives for a read of a failed attempt is passed to the next attempt.
+func TestBodyKeepsLateRead(t *testing.T) {
 	c := qt.New(t)
 	source := gatedReader{entered: make(chan struct{}), pieces: make(chan string)}
 	body := newReplayBody(source, 0)
@@ -99,5 +99,5 @@
 	body := newReplayBody(bytes.NewReader(make([]byte, 11)), 10)
 	_, err := io.ReadAll(body.open())
 	c.Check(err, qt.Equals, errBodyTooLarge)
-	c.Check(body.failure(), qt.Equals, errBodyTooLarge)
+	c.Check(body.callerError(), qt.Equals, errBodyTooLarge)
 }
--- a/internal/proxy/outbound/twohops_test.go
+++ b/internal/proxy/outbound/bothproxies_test.go
@@ -22,11 +22,12 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// SetState makes the rig a publisher; its tests set the view themselves.
-func (r *rig) SetState(membership.State) {}
+// SetState makes the harness a publisher. It does nothing, as the tests set the view
+// themselves.
+func (r *harness) SetState(membership.State) {}
 
-// backEnd adds an instance with the real inbound proxy and an emulated back end.
-func (r *rig) backEnd(name string, behavior backend.Behavior) *backend.Backend {
+// addBackend adds an instance with a real inbound proxy and an emulated backend.
+func (r *harness) addBackend(name string, behavior backend.Behavior) *backend.Backend {
 	emulated := backend.New(backend.Options{Name: name})
 	r.Assert(emulated.Start("127.0.0.1:0"), qt.IsNil)
 	emulated.Configure(behavior)
@@ -52,24 +53,24 @@
 		emulated.Kill()
 		<-served
 	})
-	r.member(name, listener.Addr().String(), membership.StateReady)
+	r.addMember(name, listener.Addr().String(), membership.StateReady)
 	return emulated
 }
 
-// Through both proxies, with back ends that break connections and answers: a
-// booking runs at most once, one that was refused as not run never ran, and each
-// answered one ran and is the caller's own.
+// Through both proxies, with backends that break connections and responses: a booking
+// runs at most once, one with the outcome "not-run" never ran, and each one that got a
+// response ran and got its own response.
 func TestBookingsThroughBothProxies(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(func(route *snapshot.Route) { route.Timeout = 5 * time.Second })
 	backends := []*backend.Backend{
-		r.backEnd("sound", backend.Behavior{}),
-		r.backEnd("early", backend.Behavior{Fault: backend.FaultResetBeforeRead, FaultCount: 40}),
-		r.backEnd("late", backend.Behavior{Fault: backend.FaultResetAfterRead, FaultCount: 40}),
-		r.backEnd("cutting", backend.Behavior{Fault: backend.FaultCloseMidAnswer, FaultCount: 40}),
-		r.backEnd("shedding", backend.Behavior{Shed: true}),
+		r.addBackend("healthy", backend.Behavior{}),
+		r.addBackend("early", backend.Behavior{Fault: backend.FaultResetBeforeRead, FaultCount: 40}),
+		r.addBackend("late", backend.Behavior{Fault: backend.FaultResetAfterRead, FaultCount: 40}),
+		r.addBackend("truncating", backend.Behavior{Fault: backend.FaultCloseMidAnswer, FaultCount: 40}),
+		r.addBackend("shedding", backend.Behavior{Shed: true}),
 	}
-	r.member("absent", closedAddress(r), membership.StateReady)
+	r.addMember("absent", closedAddress(r), membership.StateReady)
 
 	const callers, bookings = 12, 30
 	var group sync.WaitGroup
@@ -108,8 +109,8 @@
 	r.Check(counts["unknown"]+counts["cut"] > 0, qt.IsTrue)
 }
 
-// book sends one booking and tells how it ended.
-func (r *rig) book(number string) string {
+// book sends one booking and returns how it ended.
+func (r *harness) book(number string) string {
 	request := r.request("POST", backend.PathEcho, strings.NewReader("booking "+number))
 	request.Header.Set(backend.HeaderRequest, number)
 	request.Header.Set(backend.HeaderWork, "1")
--- a/internal/proxy/outbound/exchange.go
+++ b/internal/proxy/outbound/exchange.go
@@ -15,18 +15,18 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// exchange is one request of a caller with all its attempts. One goroutine owns
-// it. It stays on the snapshot it began with.
+// exchange is one request of a caller with all its attempts. It is used by one
+// goroutine and keeps the snapshot that was current when it began.
 type exchange struct {
 	proxy    *Proxy
 	writer   http.ResponseWriter
 	request  *http.Request
 	route    *snapshot.Route
 	service  string
-	header   http.Header // for the instance, without what differs by attempt
+	header   http.Header // sent to the instance, without fields that differ by attempt
 	body     *replayBody // nil without a body
-	upgrade  string      // protocol the caller asks to switch to, or ""
-	pin      *pin        // nil unless one instance must run the request
+	upgrade  string      // protocol that the caller asks to switch to, or ""
+	pin      *pin        // nil unless the request is bound to one instance
 	deadline time.Time
 	informer *forward.Informer
 
@@ -34,15 +34,15 @@
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 
-	mu        sync.Mutex // guards the two below against the timer
-	answering bool       // the answer of a back end is being passed on
-	ended     bool
+	mu         sync.Mutex // guards responding and ended, which expire uses too
+	responding bool       // the response of a backend is being forwarded
+	ended      bool
 
-	attempts int // instances asked
-	// uncertain is the first failed attempt that may have run; nil while each one
-	// proved that it did not.
+	attempts int // attempts so far
+	// uncertain is the problem of the first failed attempt that may have run; nil if
+	// none may have run.
 	uncertain *outcome.Problem
-	sends     int // round trips, those on stale connections included
+	sends     int // round trips, including those on stale connections
 	tried     []balance.Key
 }
 
@@ -67,35 +67,36 @@
 	return created
 }
 
-// openBody lets the instance answer while the caller still sends.
+// openBody prepares the body for replay and lets the instance respond while the
+// caller is still sending.
 func (e *exchange) openBody() {
 	e.body = newReplayBody(e.request.Body, e.proxy.settings.MaxBodyBytes)
 	if len(e.request.Trailer) > 0 {
-		e.body.arrived = e.request.Trailer
-		e.body.trailers = make(http.Header, len(e.request.Trailer))
+		e.body.receivedTrailers = e.request.Trailer
+		e.body.sentTrailers = make(http.Header, len(e.request.Trailer))
 		for name := range e.request.Trailer {
 			if !outcome.IsInternal(name) {
-				e.body.trailers[name] = nil
+				e.body.sentTrailers[name] = nil
 			}
 		}
 	}
-	// Writers that cannot do it, as in tests, answer after the body.
+	// Writers without full duplex, as in tests, respond after the body was read.
 	_ = http.NewResponseController(e.writer).EnableFullDuplex()
 }
 
-// expire ends the exchange because its time is over. A caller that does not
-// read the answer is no longer waited for.
+// expire ends the exchange at its deadline. It also ends a write that blocks because
+// the caller does not read the response.
 func (e *exchange) expire() {
 	e.cancel(forward.ErrDeadline)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.answering && !e.ended {
+	if e.responding && !e.ended {
 		_ = http.NewResponseController(e.writer).SetWriteDeadline(forward.LongAgo)
 	}
 }
 
-// end releases what the exchange holds. What is left of the caller's body is not
-// waited for, as the answer is complete without it.
+// end releases the resources of the exchange. It does not wait for the rest of the
+// caller's body, because the response is complete without it.
 func (e *exchange) end() {
 	e.timer.Stop()
 	e.cancel(context.Canceled)
@@ -108,73 +109,75 @@
 	}
 }
 
-// beginAnswer is called before the header of a back end's answer is written.
-func (e *exchange) beginAnswer() {
+// beginResponse is called before the header of a backend's response is written.
+func (e *exchange) beginResponse() {
 	e.informer.Stop()
 	if e.body != nil && e.body.unread() {
 		forward.CloseAfterAnswer(e.writer)
 	}
 }
 
-// boundAnswer makes the end of the request's time end the passing on of an
-// answer too.
-func (e *exchange) boundAnswer() {
+// limitResponseTime makes the deadline of the request also apply to forwarding the
+// response.
+func (e *exchange) limitResponseTime() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.answering = true
+	e.responding = true
 }
 
-// run makes attempts until one brings an answer or no other may be made.
-func (e *exchange) run() ending {
-	e.proxy.budgets.of(e.service).Deposit()
+// run makes attempts until one gets a response or no further attempt is allowed.
+func (e *exchange) run() completion {
+	e.proxy.budgets.forService(e.service).Deposit()
 	if time.Until(e.deadline) <= 0 {
-		return e.refuse(outcome.New(outcome.ReasonDeadline, outcome.NotRun, ""))
+		return e.respondWithProblem(outcome.New(outcome.ReasonDeadline, outcome.NotRun, ""))
 	}
 	last := outcome.New(outcome.ReasonNoInstance, outcome.NotRun, "service "+e.service)
 	for {
-		choice, problem := e.pick()
+		choice, problem := e.pickInstance()
 		if problem != nil {
 			last = *problem
 		}
 		if choice == nil {
-			return e.refuse(last)
+			return e.respondWithProblem(last)
 		}
 		result := e.attempt(choice)
 		if result.response != nil {
-			return e.deliver(result.response, choice)
+			return e.forwardResponse(result.response, choice)
 		}
 		last = result.problem
-		e.noteOutcome(last)
+		e.recordUncertain(last)
 		if !e.mayTryAgain(last) {
-			return e.refuse(last)
+			return e.respondWithProblem(last)
 		}
 		e.proxy.metrics.retries.Inc()
 	}
 }
 
-// noteOutcome remembers the first attempt that may have run.
-func (e *exchange) noteOutcome(failed outcome.Problem) {
+// recordUncertain stores the problem of the first attempt that may have run.
+func (e *exchange) recordUncertain(failed outcome.Problem) {
 	if failed.Outcome != outcome.NotRun && e.uncertain == nil {
 		e.uncertain = &failed
 	}
 }
 
-// overall is what the caller is told when the last attempt, or the refusal of another
-// one, ended with a problem. An attempt that may have run outweighs later ones that did
-// not: "not run" holds only when every attempt proved it.
-func (e *exchange) overall(last outcome.Problem) outcome.Problem {
+// overallProblem returns the problem for the caller after the last attempt failed or
+// a further one was refused. If an earlier attempt may have run, its problem takes
+// precedence over later ones that did not run: the outcome is "not-run" only if no
+// attempt can have run.
+func (e *exchange) overallProblem(last outcome.Problem) outcome.Problem {
 	if e.uncertain == nil || last.Outcome != outcome.NotRun {
 		return last
 	}
-	cautious := *e.uncertain
-	cautious.RetryAfter = 0
-	cautious.Detail = fmt.Sprintf("attempt may have run; a later one ended as %s", last.Reason)
-	return cautious
+	problem := *e.uncertain
+	problem.RetryAfter = 0
+	problem.Detail = fmt.Sprintf("attempt may have run; a later one ended as %s", last.Reason)
+	return problem
 }
 
-// mayTryAgain asks for the decision on a failed attempt, then the retry budget.
+// mayTryAgain reports whether the retry rules and then the retry budget allow a
+// further attempt.
 func (e *exchange) mayTryAgain(last outcome.Problem) bool {
-	verdict := retry.Decide(retry.Attempt{
+	decision := retry.Decide(retry.Attempt{
 		Number:        e.attempts,
 		MaxAttempts:   e.route.MaxAttempts,
 		Outcome:       last.Outcome,
@@ -185,16 +188,16 @@
 		CallerGone:    e.request.Context().Err() != nil,
 		Remaining:     time.Until(e.deadline),
 	})
-	if verdict == retry.Again && !e.proxy.budgets.of(e.service).Withdraw() {
+	if decision == retry.Again && !e.proxy.budgets.forService(e.service).Withdraw() {
 		e.proxy.metrics.budgetEmpty.Inc()
-		verdict = retry.StopBudget
+		decision = retry.StopBudget
 	}
-	return verdict == retry.Again
+	return decision == retry.Again
 }
 
-// pick chooses the instance for the next attempt. Without one it returns nil,
-// and a problem when that says more than the last attempt's.
-func (e *exchange) pick() (*balance.Choice, *outcome.Problem) {
+// pickInstance chooses the instance for the next attempt. If there is none, it returns
+// nil, and a problem if that is more specific than the one of the last attempt.
+func (e *exchange) pickInstance() (*balance.Choice, *outcome.Problem) {
 	view := e.proxy.fleet.View()
 	if e.pin != nil {
 		return e.pickPinned(view)
@@ -213,12 +216,12 @@
 	return choice, nil
 }
 
-// refuse ends the request with an answer of the system, or not at all when the
-// caller has gone.
-func (e *exchange) refuse(last outcome.Problem) ending {
-	problem := e.overall(last)
+// respondWithProblem ends the request with a problem document, or without a response
+// if the caller has disconnected.
+func (e *exchange) respondWithProblem(last outcome.Problem) completion {
+	problem := e.overallProblem(last)
 	if e.pin != nil && problem.Outcome == outcome.NotRun {
-		e.forgetUnlessSent()
+		e.forgetUnsentKey()
 	}
 	if e.request.Context().Err() != nil {
 		return callerGone
@@ -226,14 +229,14 @@
 	e.informer.Stop()
 	if e.body != nil && e.body.unread() {
 		e.body.stop()
-		e.body.settled(forward.SettleUnread(e.writer, e.request))
+		e.body.setEnded(forward.SettleUnread(e.writer, e.request))
 	}
 	problem.Write(e.writer)
-	return failure(problem)
+	return completionOf(problem)
 }
 
-// chooseService draws one of the route's targets by weight, among those that
-// have instances. A pinned request always draws the same.
+// chooseService selects one of the route's targets that have instances, at random by
+// weight. For a pinned request the selection depends on the key only.
 func (e *exchange) chooseService() string {
 	targets := e.route.Targets
 	if len(targets) == 1 {
@@ -254,7 +257,7 @@
 			return target.Service
 		}
 	}
-	panic("the weights add up to the total")
+	panic("outbound proxy: the drawn point is not below the total weight")
 }
 
 func usableWeight(view *membership.View, target snapshot.WeightedService) int {
--- a/internal/proxy/outbound/fault_test.go
+++ b/internal/proxy/outbound/fault_test.go
@@ -17,7 +17,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-func (r *rig) checkProblem(response *http.Response, status int, want outcome.Outcome, reason outcome.Reason) {
+func (r *harness) checkProblem(response *http.Response, status int, want outcome.Outcome, reason outcome.Reason) {
 	r.t.Helper()
 	problem, ok := outcome.FromResponse(response)
 	r.Assert(ok, qt.IsTrue, qt.Commentf("status %d", response.StatusCode))
@@ -27,8 +27,8 @@
 	r.Check(response.Header.Get("Content-Type"), qt.Equals, outcome.ContentType)
 }
 
-// refuse answers as an inbound proxy does, with or without reading the body.
-func refuse(reason outcome.Reason, result outcome.Outcome, readBody bool) http.HandlerFunc {
+// respondWithProblem responds as an inbound proxy does, with or without reading the body.
+func respondWithProblem(reason outcome.Reason, result outcome.Outcome, readBody bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if readBody {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -37,11 +37,11 @@
 	}
 }
 
-// The faulty instance fails in one way, the other is sound. Sent counts the
-// requests that arrived at either.
-func TestFaultsOfAnInstance(t *testing.T) {
-	overloaded := refuse(outcome.ReasonOverloaded, outcome.NotRun, true)
-	lost := refuse(outcome.ReasonBroken, outcome.Unknown, true)
+// One instance has a fault and the other is healthy. sent is the number of requests
+// that arrive at both together.
+func TestInstanceFaults(t *testing.T) {
+	overloaded := respondWithProblem(outcome.ReasonOverloaded, outcome.NotRun, true)
+	backendLost := respondWithProblem(outcome.ReasonBroken, outcome.Unknown, true)
 	ownError := func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(503) }
 	for _, test := range []struct {
 		fault   string
@@ -54,22 +54,22 @@
 		sent    int32
 	}{
 		{"refuses connections, POST", nil, "POST", nil, 200, "", "", 1},
-		{"closes after the request, POST", breakOff(""), "POST", nil, 502, outcome.Unknown, outcome.ReasonBroken, 1},
-		{"closes after the request, DELETE", breakOff(""), "DELETE", nil, 502, outcome.Unknown, outcome.ReasonBroken, 1},
-		{"closes after the request, GET", breakOff(""), "GET", nil, 200, "", "", 2},
-		{"answers no HTTP, POST", breakOff("nonsense\r\n\r\n"), "POST", nil, 502, outcome.Unknown, outcome.ReasonBroken, 1},
+		{"closes after the request, POST", respondAndClose(""), "POST", nil, 502, outcome.Unknown, outcome.ReasonBroken, 1},
+		{"closes after the request, DELETE", respondAndClose(""), "DELETE", nil, 502, outcome.Unknown, outcome.ReasonBroken, 1},
+		{"closes after the request, GET", respondAndClose(""), "GET", nil, 200, "", "", 2},
+		{"response is not HTTP, POST", respondAndClose("nonsense\r\n\r\n"), "POST", nil, 502, outcome.Unknown, outcome.ReasonBroken, 1},
 		{"sheds, POST", overloaded, "POST", strings.NewReader("booking"), 200, "", "", 2},
-		{"sheds unread, POST", refuse(outcome.ReasonOverloaded, outcome.NotRun, false), "POST", strings.NewReader("booking"), 200, "", "", 2},
-		{"drains, POST", refuse(outcome.ReasonDraining, outcome.NotRun, true), "POST", nil, 200, "", "", 2},
-		{"is another process, POST", refuse(outcome.ReasonWrongInstance, outcome.NotRun, true), "POST", nil, 200, "", "", 2},
+		{"sheds unread, POST", respondWithProblem(outcome.ReasonOverloaded, outcome.NotRun, false), "POST", strings.NewReader("booking"), 200, "", "", 2},
+		{"drains, POST", respondWithProblem(outcome.ReasonDraining, outcome.NotRun, true), "POST", nil, 200, "", "", 2},
+		{"is another process, POST", respondWithProblem(outcome.ReasonWrongInstance, outcome.NotRun, true), "POST", nil, 200, "", "", 2},
 		{"sheds after a long body, POST", overloaded, "POST", longBody(), 503, outcome.NotRun, outcome.ReasonOverloaded, 1},
-		{"lost its back end, POST", lost, "POST", nil, 502, outcome.Unknown, outcome.ReasonBroken, 1},
-		{"lost its back end, PUT", lost, "PUT", strings.NewReader("booking"), 200, "", "", 2},
-		{"sees time over, GET", refuse(outcome.ReasonDeadline, outcome.NotRun, true), "GET", nil, 504, outcome.NotRun, outcome.ReasonDeadline, 1},
-		{"back end says 503 itself, GET", ownError, "GET", nil, 503, "", "", 1},
+		{"lost its backend, POST", backendLost, "POST", nil, 502, outcome.Unknown, outcome.ReasonBroken, 1},
+		{"lost its backend, PUT", backendLost, "PUT", strings.NewReader("booking"), 200, "", "", 2},
+		{"deadline exceeded at the instance, GET", respondWithProblem(outcome.ReasonDeadline, outcome.NotRun, true), "GET", nil, 504, outcome.NotRun, outcome.ReasonDeadline, 1},
+		{"backend responds with 503, GET", ownError, "GET", nil, 503, "", "", 1},
 	} {
 		t.Run(test.fault, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.configure(nil)
 			var sent atomic.Int32
 			count := func(next http.HandlerFunc) http.HandlerFunc {
@@ -79,12 +79,12 @@
 				}
 			}
 			if test.faulty == nil {
-				r.member("faulty", closedAddress(r), membership.StateReady)
+				r.addMember("faulty", closedAddress(r), membership.StateReady)
 			} else {
-				r.instance("faulty", count(test.faulty))
+				r.addInstance("faulty", count(test.faulty))
 			}
-			// Suspected instances are the last choice, so the faulty one comes first.
-			r.instance("sound", count(answer("done")))
+			// Suspected instances are chosen last, so the faulty one is chosen first.
+			r.addInstance("healthy", count(respond("done")))
 			r.members[1].Suspected = true
 			r.view.Store(membership.NewView(r.members))
 
@@ -103,15 +103,15 @@
 	}
 }
 
-func closedAddress(r *rig) string {
+func closedAddress(r *harness) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	r.Assert(err, qt.IsNil)
 	r.Assert(listener.Close(), qt.IsNil)
 	return listener.Addr().String()
 }
 
-// http.Transport repeats such requests by itself when a reused connection
-// breaks; the promise is that they are sent once.
+// http.Transport by itself retries such requests when a reused connection breaks. The
+// proxy must send them only once.
 func TestNoRepeatOnAReusedConnection(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -124,20 +124,20 @@
 		{"POST with a key and a body", "POST", "booking-1", strings.NewReader("body")},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.configure(func(route *snapshot.Route) { route.RepeatMethods = nil })
 			var sent atomic.Int32
-			connections := make(map[string]bool) // one request at a time
-			r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+			connections := make(map[string]bool) // without lock: one request at a time
+			r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 				if request.URL.Path == "/warm" {
 					connections[request.RemoteAddr] = true
 					return
 				}
 				if !connections[request.RemoteAddr] {
-					t.Error("not a reused connection")
+					t.Error("the request arrived on a new connection, want a reused one")
 				}
 				sent.Add(1)
-				breakOff("")(w, request)
+				respondAndClose("")(w, request)
 			})
 			r.do(r.request("GET", "/warm", nil))
 			request := r.request(test.method, "/", test.body)
@@ -151,17 +151,17 @@
 	}
 }
 
-// A connection that the instance closed while unused costs nobody anything: the
-// request goes to the same instance on another one, and still once.
+// If the instance has closed an idle connection, the request is sent on another
+// connection to the same instance, and only once.
 func TestClosedIdleConnection(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(nil)
 	const requests = 200
-	sent := 0 // one request at a time
+	sent := 0 // without lock: one request at a time
 	closed := make(chan struct{}, 1)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		sent++
-		breakOff("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")(w, request)
+		respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")(w, request)
 		closed <- struct{}{}
 	})
 	for range requests {
@@ -172,15 +172,15 @@
 	r.Check(sent, qt.Equals, requests)
 }
 
-// A refusing service costs the retries that the budget allows, no more.
-func TestRetryBudgetBoundsTheSends(t *testing.T) {
-	r := newRig(t)
+// A service that refuses all requests gets no more retries than the budget allows.
+func TestRetryBudgetLimitsSends(t *testing.T) {
+	r := newHarness(t)
 	r.configure(nil)
 	var sent atomic.Int32
 	for _, name := range []string{"a", "b", "c"} {
-		r.instance(name, func(w http.ResponseWriter, request *http.Request) {
+		r.addInstance(name, func(w http.ResponseWriter, request *http.Request) {
 			sent.Add(1)
-			refuse(outcome.ReasonOverloaded, outcome.NotRun, true)(w, request)
+			respondWithProblem(outcome.ReasonOverloaded, outcome.NotRun, true)(w, request)
 		})
 	}
 	const requests = 100
@@ -189,19 +189,20 @@
 		r.checkProblem(response, 503, outcome.NotRun, outcome.ReasonOverloaded)
 		r.Check(response.Header.Get("Retry-After"), qt.Equals, "1")
 	}
-	// 10 saved up and a tenth of the requests, less the share lost to the cap.
+	// The budget starts with 10 retries and gains a tenth of a retry per request, less
+	// what its capacity cuts off.
 	r.Check(sent.Load() <= requests+10+requests/10, qt.IsTrue, qt.Commentf("sent %d", sent.Load()))
 	r.Check(sent.Load() > requests+10, qt.IsTrue, qt.Commentf("sent %d", sent.Load()))
 }
 
-// A stalled instance costs the caller its time, and the answer says whether the
-// request may have run.
+// With a stalled instance the request ends at its deadline, and the response states
+// that the request may have run.
 func TestDeadline(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(nil)
 	left := make(chan string, 1)
 	gone := make(chan struct{})
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		left <- request.Header.Get(outcome.HeaderRemaining)
 		<-request.Context().Done()
 		close(gone)
@@ -214,12 +215,12 @@
 	<-gone
 }
 
-// A caller that goes away cancels the work; nobody else gets its answer.
+// When the caller disconnects, the request to the instance is cancelled.
 func TestCallerGoesAway(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(nil)
 	arrived, gone := make(chan struct{}), make(chan struct{})
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		close(arrived)
 		<-request.Context().Done()
 		close(gone)
@@ -234,21 +235,22 @@
 	<-gone
 }
 
-// Instances are not blamed for callers that go away, and are for broken answers.
+// Requests that the caller cancels do not count as failures of the instance; broken
+// responses do.
 func TestEjections(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(func(route *snapshot.Route) { route.RepeatMethods = nil })
 	arrived := make(chan struct{})
 	hang := func(w http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/broken" {
-			breakOff("")(w, request)
+			respondAndClose("")(w, request)
 			return
 		}
 		arrived <- struct{}{}
 		<-request.Context().Done()
 	}
-	r.instance("a", hang)
-	r.instance("b", hang)
+	r.addInstance("a", hang)
+	r.addInstance("b", hang)
 	for range 10 {
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
@@ -265,17 +267,18 @@
 	r.Check(r.counter("winchhead_outbound_ejections_total") > 0, qt.IsTrue)
 }
 
-// What an answer tells about its instance counts from the next request on.
-func TestHintsOnAnswers(t *testing.T) {
+// State and load that a response reports for its instance apply from the next request
+// on.
+func TestHintsInResponses(t *testing.T) {
 	for _, test := range []struct{ name, value string }{
 		{outcome.HeaderState, "draining"},
 		{outcome.HeaderLoad, "0.9"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.configure(nil)
 			for _, name := range []string{"a", "b"} {
-				r.instance(name, func(w http.ResponseWriter, request *http.Request) {
+				r.addInstance(name, func(w http.ResponseWriter, request *http.Request) {
 					if name == "a" {
 						w.Header().Set(test.name, test.value)
 					}
--- a/internal/proxy/outbound/rig_test.go
+++ b/internal/proxy/outbound/harness_test.go
@@ -32,8 +32,8 @@
 	headerLimit = 8 << 10
 )
 
-// rig is a proxy on loopback with stand-ins for the inbound proxies.
-type rig struct {
+// harness runs a proxy on loopback with fake inbound proxies.
+type harness struct {
 	*qt.C
 	t       testing.TB
 	store   snapshot.Store
@@ -45,15 +45,15 @@
 	metrics *prometheus.Registry
 }
 
-func (r *rig) Current() *snapshot.Snapshot { return r.store.Current() }
-func (r *rig) View() *membership.View      { return r.view.Load() }
+func (r *harness) Current() *snapshot.Snapshot { return r.store.Current() }
+func (r *harness) View() *membership.View      { return r.view.Load() }
 
-// newRig starts a proxy without configuration and without instances.
-func newRig(t testing.TB) *rig { return newSecuredRig(t, nil) }
+// newHarness starts a proxy without configuration and without instances.
+func newHarness(t testing.TB) *harness { return newTLSHarness(t, nil) }
 
-// newSecuredRig uses TLS towards the instances.
-func newSecuredRig(t testing.TB, config *tls.Config) *rig {
-	r := &rig{C: qt.New(t), t: t, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+// newTLSHarness uses config for TLS connections to the instances.
+func newTLSHarness(t testing.TB, config *tls.Config) *harness {
+	r := &harness{C: qt.New(t), t: t, client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	r.metrics = prometheus.NewRegistry()
 	r.view.Store(membership.NewView(nil))
 	proxy, err := outbound.New(outbound.Options{
@@ -83,8 +83,8 @@
 	return r
 }
 
-// route is the route of the tests: GET and PUT may be repeated, POST not.
-func route() snapshot.Route {
+// defaultRoute returns the route of the tests: GET and PUT may be repeated, POST not.
+func defaultRoute() snapshot.Route {
 	return snapshot.Route{
 		Name: "booking/all", Match: snapshot.Match{Host: "booking.test"},
 		Targets: []snapshot.WeightedService{{Service: testService, Weight: 1}},
@@ -93,8 +93,8 @@
 	}
 }
 
-func (r *rig) configure(change func(*snapshot.Route)) {
-	only := route()
+func (r *harness) configure(change func(*snapshot.Route)) {
+	only := defaultRoute()
 	if change != nil {
 		change(&only)
 	}
@@ -109,15 +109,15 @@
 	r.Assert(err, qt.IsNil)
 }
 
-// instance adds an instance whose inbound proxy is the handler.
-func (r *rig) instance(name string, handler http.HandlerFunc) {
+// addInstance adds an addInstance whose inbound proxy is the handler.
+func (r *harness) addInstance(name string, handler http.HandlerFunc) {
 	server := httptest.NewServer(handler)
 	r.t.Cleanup(server.Close)
-	r.member(name, server.Listener.Addr().String(), membership.StateReady)
+	r.addMember(name, server.Listener.Addr().String(), membership.StateReady)
 }
 
-// member sets what the fleet knows of one instance.
-func (r *rig) member(name, address string, state membership.State) {
+// addMember adds the member record of an instance to the fleet view.
+func (r *harness) addMember(name, address string, state membership.State) {
 	r.members = append(r.members, membership.Member{Record: membership.Record{
 		Node: membership.NodeID(name), Incarnation: 7, Sequence: 1, State: state,
 		Region: "south", Zone: "centro", Service: testService, DataAddress: address, Slots: 20,
@@ -125,15 +125,15 @@
 	r.view.Store(membership.NewView(r.members))
 }
 
-func (r *rig) request(method, path string, body io.Reader) *http.Request {
+func (r *harness) request(method, path string, body io.Reader) *http.Request {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+r.address+path, body)
 	r.Assert(err, qt.IsNil)
 	request.Host = "booking.test"
 	return request
 }
 
-// do sends a request and returns the answer with its whole body.
-func (r *rig) do(request *http.Request) (*http.Response, string) {
+// do sends a request and returns the response and its whole body.
+func (r *harness) do(request *http.Request) (*http.Response, string) {
 	response, err := r.client.Do(request)
 	r.Assert(err, qt.IsNil)
 	defer func() { _ = response.Body.Close() }()
@@ -142,8 +142,8 @@
 	return response, string(body)
 }
 
-// counter adds up a counter over its labels.
-func (r *rig) counter(name string) float64 {
+// counter returns the sum of a counter over all labels.
+func (r *harness) counter(name string) float64 {
 	families, err := r.metrics.Gather()
 	r.Assert(err, qt.IsNil)
 	total := 0.0
@@ -158,8 +158,8 @@
 	return total
 }
 
-// raw sends text on a connection of its own, which the test ends.
-func (r *rig) raw(text string) (net.Conn, *bufio.Reader) {
+// sendRaw sends text on a new connection, which is closed at the end of the test.
+func (r *harness) sendRaw(text string) (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp", r.address)
 	r.Assert(err, qt.IsNil)
 	r.t.Cleanup(func() { _ = conn.Close() })
@@ -168,16 +168,15 @@
 	return conn, bufio.NewReader(conn)
 }
 
-func answer(text string) http.HandlerFunc {
+func respond(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, text)
 	}
 }
 
-// breakOff closes the connection after the request was read and what was given
-// was sent.
-func breakOff(sent string) http.HandlerFunc {
+// respondAndClose reads the request, sends the given bytes and closes the connection.
+func respondAndClose(sent string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -189,8 +188,9 @@
 	}
 }
 
-// answerUnread answers without reading the body, then closes the connection.
-func answerUnread(sent string) http.HandlerFunc {
+// respondWithoutReading sends the given bytes without reading the body and closes the
+// connection.
+func respondWithoutReading(sent string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
--- a/internal/proxy/outbound/metrics.go
+++ b/internal/proxy/outbound/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// metrics are resolved for all label values at start, which bounds them and
-// keeps the path of a request free of look-ups by text.
+// metrics holds the counters for all label values. They are created at start, which
+// bounds their number and avoids label lookups while a request is served.
 type metrics struct {
-	requests    map[ending]prometheus.Counter
+	requests    map[completion]prometheus.Counter
 	other       prometheus.Counter
 	duration    prometheus.Histogram
 	retries     prometheus.Counter
@@ -25,7 +25,7 @@
 		Help: "Requests of callers, by outcome and, for failures, reason.",
 	}, []string{"outcome", "reason"})
 	result := &metrics{
-		requests: make(map[ending]prometheus.Counter),
+		requests: make(map[completion]prometheus.Counter),
 		duration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "winchhead_outbound_request_duration_seconds",
 			Help:    "Time from a request's header to the end of its answer, sessions included.",
@@ -35,12 +35,12 @@
 		budgetEmpty: newCounter("winchhead_outbound_retry_budget_empty_total", "Retries not made because the budget of the service was empty."),
 		ejections:   newCounter("winchhead_outbound_ejections_total", "Instances taken out for a while after failures in a row."),
 	}
-	for _, known := range []ending{answered, cut, late, callerGone} {
+	for _, known := range []completion{answered, truncated, timedOut, callerGone} {
 		result.requests[known] = requests.WithLabelValues(known.outcome, string(known.reason))
 	}
 	for _, reason := range outcome.Reasons() {
 		for _, kind := range []outcome.Outcome{outcome.NotRun, outcome.Unknown} {
-			result.requests[ending{string(kind), reason}] = requests.WithLabelValues(string(kind), string(reason))
+			result.requests[completion{string(kind), reason}] = requests.WithLabelValues(string(kind), string(reason))
 		}
 	}
 	result.other = requests.WithLabelValues("other", "other")
@@ -59,7 +59,7 @@
 	return prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
 }
 
-func (m *metrics) observe(ended ending, elapsed time.Duration) {
+func (m *metrics) observe(ended completion, elapsed time.Duration) {
 	counter, known := m.requests[ended]
 	if !known {
 		counter = m.other
--- a/internal/proxy/outbound/proxy.go
+++ b/internal/proxy/outbound/proxy.go
@@ -1,7 +1,7 @@
-// Package outbound is the proxy that callers use: it finds the route of a
-// request in the snapshot in force, picks an instance, sends the request to the
-// inbound proxy beside it and passes the answer on. It sends a request again
-// only when that cannot make it run twice, or when the route allows that.
+// Package outbound is the proxy that callers use: it finds the route of a request in
+// the current snapshot, picks an instance, sends the request to the inbound proxy in
+// the sidecar of the instance and forwards the response. It retries a request only
+// if it cannot have run yet, or if the route allows it to run more than once.
 package outbound
 
 import (
@@ -25,33 +25,33 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// SnapshotSource gives the configuration in force.
+// SnapshotSource provides the current configuration.
 type SnapshotSource interface {
-	// Current returns nil until the node holds a version.
+	// Current returns nil until the node has a version of the configuration.
 	Current() *snapshot.Snapshot
 }
 
-// FleetSource gives the node's picture of the other instances.
+// FleetSource provides the node's view of the instances.
 type FleetSource interface {
-	// View returns nil until there is one.
+	// View returns nil until there is a view.
 	View() *membership.View
 }
 
-// Options are what a Proxy is made from.
+// Options configures a Proxy.
 type Options struct {
 	Snapshots SnapshotSource
 	Fleet     FleetSource
-	// Self tells the region and zone of this node.
+	// Self contains the region and zone of this node.
 	Self membership.Record
-	// TLS secures the connections to inbound proxies; nil leaves them plain.
+	// TLS configures the connections to inbound proxies; nil means no TLS.
 	TLS        *tls.Config
 	Settings   settings.Outbound
 	Logger     logrus.FieldLogger
 	Registerer prometheus.Registerer
 }
 
-// Proxy takes the requests of callers. It is safe for concurrent use. End it
-// with Drain, then Close.
+// Proxy handles the requests of callers. It is safe for concurrent use. Stop it with
+// Drain, then Close.
 type Proxy struct {
 	snapshots SnapshotSource
 	fleet     FleetSource
@@ -60,12 +60,12 @@
 	metrics   *metrics
 	balancer  *balance.Balancer
 	transport *http.Transport
-	keys      *keyMemory
+	keys      *keyCache
 	budgets   budgets
 	activity  activity
 	draining  atomic.Bool
 
-	base   context.Context // ends with Close
+	base   context.Context // cancelled by Close
 	cancel context.CancelFunc
 	server *http.Server
 }
@@ -74,7 +74,7 @@
 // cannot be registered.
 func New(options Options) (*Proxy, error) {
 	if options.Snapshots == nil || options.Fleet == nil {
-		return nil, eris.New("outbound proxy: needs a source of snapshots and one of the fleet")
+		return nil, eris.New("outbound proxy: the options Snapshots and Fleet are required")
 	}
 	registered, err := newMetrics(options.Registerer)
 	if err != nil {
@@ -94,7 +94,7 @@
 			Source: rand.NewPCG(rand.Uint64(), rand.Uint64()),
 		}),
 		transport: newTransport(options.TLS),
-		keys:      newKeyMemory(),
+		keys:      newKeyCache(),
 		budgets:   budgets{ratio: options.Settings.RetryRatio},
 		base:      base,
 		cancel:    cancel,
@@ -103,8 +103,8 @@
 	return proxy, nil
 }
 
-// ServeHTTP takes one request through the proxy. It panics with
-// http.ErrAbortHandler to cut an answer that was cut on its way here.
+// ServeHTTP proxies one request. It panics with http.ErrAbortHandler if the response
+// of the instance broke off, so that the caller's response breaks off too.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	p.activity.begin(started)
@@ -112,30 +112,30 @@
 	if p.draining.Load() {
 		w.Header().Set(forward.HeaderConnection, "close")
 	}
-	ended := cut
+	ended := truncated
 	defer func() { p.metrics.observe(ended, time.Since(started)) }()
 
 	exchange, problem := p.admit(w, r, started)
 	if problem != nil {
-		ended = failure(*problem)
+		ended = completionOf(*problem)
 		forward.SettleUnread(w, r)
 		problem.Write(w)
 		return
 	}
 	defer exchange.end()
 	ended = exchange.run()
-	if ended.aborts() {
+	if ended.mustAbort() {
 		exchange.abort()
 	}
 }
 
-// budgets holds the retry budget of each service.
+// budgets contains the retry budget of each service.
 type budgets struct {
 	ratio    float64
 	services sync.Map // service name to *retry.Budget
 }
 
-func (b *budgets) of(service string) *retry.Budget {
+func (b *budgets) forService(service string) *retry.Budget {
 	if found, ok := b.services.Load(service); ok {
 		return found.(*retry.Budget)
 	}
@@ -143,8 +143,8 @@
 	return found.(*retry.Budget)
 }
 
-// ending is how a request left the proxy, for metrics.
-type ending struct {
+// completion is how a request ended, as in the labels of the metrics.
+type completion struct {
 	outcome string
 	reason  outcome.Reason
 }
@@ -152,15 +152,15 @@
 const reasonNone outcome.Reason = "none"
 
 var (
-	answered   = ending{"answered", reasonNone}
-	cut        = ending{"cut", reasonNone}
-	late       = ending{"cut", outcome.ReasonDeadline}
-	callerGone = ending{"caller-gone", reasonNone}
+	answered   = completion{"answered", reasonNone}
+	truncated  = completion{"cut", reasonNone}
+	timedOut   = completion{"cut", outcome.ReasonDeadline}
+	callerGone = completion{"caller-gone", reasonNone}
 )
 
-func failure(problem outcome.Problem) ending {
-	return ending{string(problem.Outcome), problem.Reason}
+func completionOf(problem outcome.Problem) completion {
+	return completion{string(problem.Outcome), problem.Reason}
 }
 
-// aborts reports whether the caller's connection must be cut.
-func (e ending) aborts() bool { return e == cut || e == late || e == callerGone }
+// mustAbort reports whether the caller's connection must be aborted.
+func (e completion) mustAbort() bool { return e == truncated || e == timedOut || e == callerGone }
--- a/internal/proxy/outbound/refuse_test.go
+++ b/internal/proxy/outbound/refuse_test.go
@@ -20,7 +20,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// What the proxy refuses by itself never reaches an instance.
+// Requests that the proxy itself refuses never reach an instance.
 func TestRefusedBeforeSending(t *testing.T) {
 	headers := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -41,15 +41,15 @@
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader("")), bodyLimit+1
 			r.Header.Set("Expect", "100-continue")
 		}, 413, outcome.ReasonTooLarge},
-		{"timeout is no number", headers(outcome.HeaderTimeout, "soon"), 400, outcome.ReasonBadRequest},
-		{"timeout below zero", headers(outcome.HeaderTimeout, "-1"), 400, outcome.ReasonBadRequest},
-		{"time already over", headers(outcome.HeaderTimeout, "0"), 504, outcome.ReasonDeadline},
+		{"timeout is not a number", headers(outcome.HeaderTimeout, "soon"), 400, outcome.ReasonBadRequest},
+		{"negative timeout", headers(outcome.HeaderTimeout, "-1"), 400, outcome.ReasonBadRequest},
+		{"deadline already exceeded", headers(outcome.HeaderTimeout, "0"), 504, outcome.ReasonDeadline},
 	} {
 		t.Run(test.fault, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.client.Transport.(*http.Transport).ExpectContinueTimeout = time.Minute
 			r.configure(nil)
-			r.instance("a", func(http.ResponseWriter, *http.Request) { t.Error("reached an instance") })
+			r.addInstance("a", func(http.ResponseWriter, *http.Request) { t.Error("the request reached an instance") })
 			request := r.request("POST", "/trips", nil)
 			test.change(request)
 			response, _ := r.do(request)
@@ -59,20 +59,20 @@
 }
 
 func TestRefusedWithoutConfigurationOrInstance(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	response, _ := r.do(r.request("GET", "/", nil))
 	r.checkProblem(response, 503, outcome.NotRun, outcome.ReasonNoConfiguration)
 	r.Check(response.Header.Get("Retry-After"), qt.Equals, "1")
 
 	r.configure(nil)
-	r.member("draining", "127.0.0.1:1", membership.StateDraining)
+	r.addMember("draining", "127.0.0.1:1", membership.StateDraining)
 	response, _ = r.do(r.request("GET", "/", nil))
 	r.checkProblem(response, 503, outcome.NotRun, outcome.ReasonNoInstance)
 }
 
-// An answer that needs nothing more of a caller's body ends the request, though
-// the caller neither goes on nor closes.
-func TestAnswerBeforeTheBodyCame(t *testing.T) {
+// A response sent before the body was read ends the request, even if the caller
+// neither sends the rest of the body nor closes the connection.
+func TestResponseBeforeTheBodyArrived(t *testing.T) {
 	for _, test := range []struct {
 		host   string
 		status int
@@ -81,14 +81,14 @@
 		{"other.test", 404},
 	} {
 		t.Run(test.host, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.configure(nil)
-			r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+			r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 				_ = http.NewResponseController(w).EnableFullDuplex()
 				w.Header().Set("Connection", "close")
 				w.WriteHeader(417)
 			})
-			_, reader := r.raw("POST / HTTP/1.1\r\nHost: " + test.host + "\r\nContent-Length: 10\r\n\r\nhalf")
+			_, reader := r.sendRaw("POST / HTTP/1.1\r\nHost: " + test.host + "\r\nContent-Length: 10\r\n\r\nhalf")
 			response, err := http.ReadResponse(reader, nil)
 			r.Assert(err, qt.IsNil)
 			r.Check(response.StatusCode, qt.Equals, test.status)
@@ -98,20 +98,20 @@
 	}
 }
 
-// What is left of a body after an answer is never taken for a request.
-func TestRestOfABodyIsNoRequest(t *testing.T) {
+// The unread rest of a body is never interpreted as a request (request smuggling).
+func TestUnreadBodyIsNotARequest(t *testing.T) {
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: booking.test\r\n\r\n"
 	for _, host := range []string{"booking.test", "other.test"} {
 		t.Run(host, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.configure(nil)
-			r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+			r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 				if request.URL.Path == "/smuggled" {
 					t.Error("the rest of a body ran as a request")
 				}
-				answerUnread("HTTP/1.1 417 Expectation Failed\r\nContent-Length: 0\r\n\r\n")(w, request)
+				respondWithoutReading("HTTP/1.1 417 Expectation Failed\r\nContent-Length: 0\r\n\r\n")(w, request)
 			})
-			conn, reader := r.raw(fmt.Sprintf("POST / HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", host, 1000+len(smuggled)))
+			conn, reader := r.sendRaw(fmt.Sprintf("POST / HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", host, 1000+len(smuggled)))
 			_, _ = io.WriteString(conn, strings.Repeat("x", 1000))
 			response, err := http.ReadResponse(reader, nil)
 			r.Assert(err, qt.IsNil)
@@ -122,22 +122,22 @@
 	}
 }
 
-// A caller that does not read its answer holds nothing after the route's time.
+// A caller that does not read the response uses no resources after the route's timeout.
 func TestCallerDoesNotRead(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(func(route *snapshot.Route) { route.Timeout = 100 * time.Millisecond })
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(w, endless{})
 	})
-	_, reader := r.raw("GET / HTTP/1.1\r\nHost: booking.test\r\n\r\n")
+	_, reader := r.sendRaw("GET / HTTP/1.1\r\nHost: booking.test\r\n\r\n")
 	_, err := reader.ReadByte()
 	r.Assert(err, qt.IsNil)
 	r.Check(r.proxy.Drain(context.Background()), qt.IsNil)
 }
 
-// With TLS the request goes only to an instance that proves who it is.
+// With TLS, requests are sent only to instances with a trusted certificate.
 func TestTLS(t *testing.T) {
-	instance := httptest.NewUnstartedServer(answer("done"))
+	instance := httptest.NewUnstartedServer(respond("done"))
 	instance.Config.ErrorLog = log.New(io.Discard, "", 0)
 	instance.StartTLS()
 	defer instance.Close()
@@ -152,9 +152,9 @@
 		{"unknown authority", &tls.Config{RootCAs: x509.NewCertPool()}, 502},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newSecuredRig(t, test.config)
+			r := newTLSHarness(t, test.config)
 			r.configure(nil)
-			r.member("a", instance.Listener.Addr().String(), membership.StateReady)
+			r.addMember("a", instance.Listener.Addr().String(), membership.StateReady)
 			response, _ := r.do(r.request("POST", "/", strings.NewReader("booking")))
 			r.Check(response.StatusCode, qt.Equals, test.status)
 			if test.status == 502 {
--- a/internal/proxy/outbound/answer_test.go
+++ b/internal/proxy/outbound/response_test.go
@@ -16,13 +16,13 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// A caller can neither forge what nodes tell each other nor override a secret,
-// and learns neither.
+// Callers can neither set internal headers nor override a secret, and they receive
+// neither of them.
 func TestHeaders(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(nil)
 	arrived := make(chan *http.Request, 1)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		arrived <- request
 		w.Header().Set(outcome.HeaderLoad, "0.5")
 		w.Header().Set("X-Hop", "hop")
@@ -60,11 +60,11 @@
 	}
 }
 
-func TestTrailersGoBothWays(t *testing.T) {
-	r := newRig(t)
+func TestTrailersAreForwardedBothWays(t *testing.T) {
+	r := newHarness(t)
 	r.configure(nil)
 	arrived := make(chan http.Header, 1)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		arrived <- request.Trailer
 		w.Header().Set("Trailer", "X-Sum")
@@ -81,8 +81,9 @@
 	r.Check(response.Trailer, qt.DeepEquals, http.Header{"X-Sum": {"1"}, "X-Late": {"2"}})
 }
 
-// An answer that breaks off reaches the caller as broken, whatever marks its end.
-func TestCutAnswersStayCut(t *testing.T) {
+// A response that breaks off reaches the caller as incomplete, however its end is
+// marked.
+func TestTruncatedResponsesStayTruncated(t *testing.T) {
 	for _, test := range []struct{ name, protocol, sent string }{
 		{"by length", "HTTP/1.1", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"},
 		{"by chunks", "HTTP/1.1", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
@@ -91,13 +92,13 @@
 		{"by chunks, to HTTP/1.0", "HTTP/1.0", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.configure(nil)
-			r.instance("a", breakOff(test.sent))
-			_, reader := r.raw("GET / " + test.protocol + "\r\nHost: booking.test\r\n\r\n")
+			r.addInstance("a", respondAndClose(test.sent))
+			_, reader := r.sendRaw("GET / " + test.protocol + "\r\nHost: booking.test\r\n\r\n")
 			response, err := http.ReadResponse(reader, nil)
 			if err != nil {
-				return // cut before the header
+				return // closed before the header
 			}
 			_, err = io.ReadAll(response.Body)
 			r.Check(err, qt.IsNotNil)
@@ -105,10 +106,10 @@
 	}
 }
 
-func TestHeadAndEmptyAnswers(t *testing.T) {
-	r := newRig(t)
+func TestHeadAndEmptyResponses(t *testing.T) {
+	r := newHarness(t)
 	r.configure(nil)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/none" {
 			w.WriteHeader(http.StatusNoContent)
 			return
@@ -121,10 +122,10 @@
 	r.Check(response.StatusCode, qt.Equals, http.StatusNoContent)
 }
 
-func TestInformationalAnswersPass(t *testing.T) {
-	r := newRig(t)
+func TestInformationalResponsesAreForwarded(t *testing.T) {
+	r := newHarness(t)
 	r.configure(nil)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		w.Header().Set("Link", "</style>")
 		w.Header().Set(outcome.HeaderLoad, "1")
 		w.WriteHeader(http.StatusEarlyHints)
@@ -143,22 +144,21 @@
 	r.Check(body, qt.Equals, "done")
 }
 
-// The body of a request that expects "100 Continue" is asked for only by the
-// instance.
+// Only the instance can ask for the body of a request that expects "100 Continue".
 func TestExpectContinue(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		handler  http.HandlerFunc
 		wantRead bool
 	}{
-		{"taken", answer("done"), true},
+		{"taken", respond("done"), true},
 		{"refused", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(417) }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.configure(nil)
-			r.instance("a", test.handler)
-			conn, reader := r.raw("POST / HTTP/1.1\r\nHost: booking.test\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+			r.addInstance("a", test.handler)
+			conn, reader := r.sendRaw("POST / HTTP/1.1\r\nHost: booking.test\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 			line, err := reader.ReadString('\n')
 			r.Assert(err, qt.IsNil)
 			if !test.wantRead {
@@ -177,17 +177,17 @@
 	}
 }
 
-// Concurrent numbered requests, some of whose answers break off: each complete
-// answer is the caller's own, byte for byte.
-func TestAnswersBelongToTheirRequests(t *testing.T) {
-	r := newRig(t)
+// Sends numbered requests concurrently, some of whose responses break off: each
+// complete response belongs to its request, byte for byte.
+func TestResponsesBelongToTheirRequests(t *testing.T) {
+	r := newHarness(t)
 	r.configure(func(route *snapshot.Route) { route.RepeatMethods = nil })
 	text := func(number string) string { return strings.Repeat(number+";", 3000) }
 	for _, name := range []string{"a", "b"} {
-		r.instance(name, func(w http.ResponseWriter, request *http.Request) {
+		r.addInstance(name, func(w http.ResponseWriter, request *http.Request) {
 			number := request.URL.Path[1:]
 			if strings.HasSuffix(number, "3") {
-				breakOff("HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n"+text(number))(w, request)
+				respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n"+text(number))(w, request)
 				return
 			}
 			_, _ = io.WriteString(w, text(number))
@@ -205,10 +205,10 @@
 				body, err := io.ReadAll(response.Body)
 				_ = response.Body.Close()
 				if err == nil && response.Header.Get(outcome.HeaderOutcome) == "" && string(body) != text(number) {
-					t.Errorf("request %s got another answer", number)
+					t.Errorf("request %s got the response of another request", number)
 				}
 				if err == nil && strings.HasSuffix(number, "3") && response.StatusCode == 200 {
-					t.Errorf("request %s: a cut answer came as whole", number)
+					t.Errorf("request %s: a truncated response arrived as complete", number)
 				}
 			}
 		})
@@ -216,8 +216,8 @@
 	group.Wait()
 }
 
-// Requests that two programs may read in two ways are refused, and no byte of
-// them reaches an instance as a request of its own.
+// Requests that two HTTP parsers may interpret differently are refused, and no part of
+// them reaches an instance as a complete request.
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	const host = "Host: booking.test\r\n"
 	for _, test := range []struct{ name, text, status string }{
@@ -236,14 +236,14 @@
 		{"CONNECT", "CONNECT booking.test:80 HTTP/1.1\r\n" + host + "\r\n", "405"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.configure(nil)
-			r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+			r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 				if _, err := io.ReadAll(request.Body); err == nil {
-					t.Error("reached an instance whole")
+					t.Error("the complete request reached an instance")
 				}
 			})
-			_, reader := r.raw(test.text)
+			_, reader := r.sendRaw(test.text)
 			response, err := http.ReadResponse(reader, nil)
 			r.Assert(err, qt.IsNil)
 			r.Check(response.Status, qt.Matches, "("+test.status+") .*")
@@ -251,17 +251,18 @@
 	}
 }
 
-// With both a length and chunks, chunks count (RFC 9112, 6.3) and the length is
-// not passed on. An absolute target is passed on as a path.
-func TestNormalisedRequests(t *testing.T) {
-	r := newRig(t)
+// If a request has both a length and chunked encoding, the chunked encoding applies
+// (RFC 9112, 6.3) and the length is not forwarded. An absolute target is forwarded as
+// a path.
+func TestNormalizedRequests(t *testing.T) {
+	r := newHarness(t)
 	r.configure(nil)
 	arrived := make(chan *http.Request, 1)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		arrived <- request
 	})
-	_, reader := r.raw("POST http://booking.test/trips?x HTTP/1.1\r\nHost: other.test\r\n" +
+	_, reader := r.sendRaw("POST http://booking.test/trips?x HTTP/1.1\r\nHost: other.test\r\n" +
 		"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n")
 	_, err := http.ReadResponse(reader, nil)
 	r.Assert(err, qt.IsNil)
@@ -272,12 +273,12 @@
 	r.Check(got.Header.Get("Content-Length"), qt.Equals, "")
 }
 
-// A body without a stated length is cut off at the limit, and the answer says
-// that part of it was sent.
+// A body of unknown length is refused when it exceeds the limit. The outcome is unknown
+// then, as part of it was already sent.
 func TestStreamedBodyOverTheLimit(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(nil)
-	r.instance("a", answer("done"))
+	r.addInstance("a", respond("done"))
 	body := io.LimitReader(endless{}, bodyLimit+1)
 	response, _ := r.do(r.request("POST", "/", body))
 	r.checkProblem(response, 413, outcome.Unknown, outcome.ReasonTooLarge)
--- a/internal/proxy/outbound/server.go
+++ b/internal/proxy/outbound/server.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// defaultHeaderTimeout is used when the settings give none.
+	// defaultHeaderTimeout is used if the settings contain no header timeout.
 	defaultHeaderTimeout = 10 * time.Second
-	// headerSlack is by how much net/http's own limit exceeds the proxy's, so
-	// that the proxy's answer, which states the outcome, comes first.
+	// headerSlack is how much higher the limit of net/http is than that of the proxy,
+	// so that the proxy refuses a large header first, with a response that states the
+	// outcome.
 	headerSlack = 64 << 10
-	// quietGrace is how long no request must have begun before a planned stop
-	// closes idle connections; longestQuiet bounds the wait for that.
-	quietGrace   = time.Second
-	longestQuiet = 5 * time.Second
+	// quietPeriod is how long no request must have begun before Drain closes idle
+	// connections; maxQuietWait bounds the wait for that.
+	quietPeriod  = time.Second
+	maxQuietWait = 5 * time.Second
 )
 
-// Server returns the HTTP server of the proxy, with its limits. The caller
-// serves a listener with it; Drain and Close end it.
+// Server returns the HTTP server of the proxy with its limits set. The caller must
+// call Serve on it; Drain and Close stop it.
 func (p *Proxy) Server() *http.Server { return p.server }
 
 func (p *Proxy) newServer() *http.Server {
@@ -41,13 +42,13 @@
 	return server
 }
 
-// Drain is a planned stop. Answers tell callers to close their connections;
-// once no request began for a while, the listeners and idle connections are
-// closed. It returns when all requests and sessions have ended, or with an error
-// when ctx ends first; Close then cuts the rest.
+// Drain shuts the proxy down gracefully. Responses ask callers to close their
+// connections; once no request has begun for a while, the listeners and idle
+// connections are closed. Drain returns when all requests and sessions have ended, or
+// with an error if ctx ends first; Close then aborts the rest.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.draining.Store(true)
-	if err := p.activity.waitQuiet(ctx); err != nil {
+	if err := p.activity.waitUntilQuiet(ctx); err != nil {
 		return eris.Wrap(err, "outbound proxy: drain")
 	}
 	if err := p.server.Shutdown(ctx); err != nil {
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// Close cuts all requests and sessions and closes all connections. It waits
-// until the last handler has returned.
+// Close aborts all requests and sessions and closes all connections. It waits until
+// the last handler has returned.
 func (p *Proxy) Close() error {
 	p.draining.Store(true)
 	p.cancel()
@@ -73,20 +74,21 @@
 // activity counts the requests and sessions in progress.
 type activity struct {
 	forward.Activity
-	lastBegin atomic.Int64 // Unix time in nanoseconds
+	lastStart atomic.Int64 // Unix time in nanoseconds
 }
 
 func (a *activity) begin(now time.Time) {
 	a.Begin()
-	a.lastBegin.Store(now.UnixNano())
+	a.lastStart.Store(now.UnixNano())
 }
 
-// waitQuiet returns once no request began for quietGrace, or after longestQuiet.
-func (a *activity) waitQuiet(ctx context.Context) error {
+// waitUntilQuiet returns once no request has begun for quietPeriod, or after
+// maxQuietWait.
+func (a *activity) waitUntilQuiet(ctx context.Context) error {
 	start := time.Now()
-	limit := start.Add(longestQuiet)
+	limit := start.Add(maxQuietWait)
 	for {
-		quietAt := later(start, time.Unix(0, a.lastBegin.Load())).Add(quietGrace)
+		quietAt := later(start, time.Unix(0, a.lastStart.Load())).Add(quietPeriod)
 		if quietAt.After(limit) {
 			quietAt = limit
 		}
--- a/internal/proxy/outbound/session.go
+++ b/internal/proxy/outbound/session.go
@@ -9,14 +9,14 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// switchProtocols turns the exchange into a session: bytes go both ways until
-// both directions have ended.
-func (e *exchange) switchProtocols(response *http.Response, choice *balance.Choice) ending {
+// switchProtocols turns the exchange into a session, which relays bytes in both
+// directions until both have ended.
+func (e *exchange) switchProtocols(response *http.Response, choice *balance.Choice) completion {
 	instance, agreed := forward.Upgraded(response, e.upgrade)
 	if !agreed {
 		_ = response.Body.Close()
 		e.finish(choice, balance.Failed, time.Now())
-		return e.refuse(outcome.New(outcome.ReasonBroken, outcome.Unknown, "the back end switched to another protocol"))
+		return e.respondWithProblem(outcome.New(outcome.ReasonBroken, outcome.Unknown, "the back end switched to another protocol"))
 	}
 	defer func() { _ = instance.Close() }()
 	e.becomeSession()
--- a/internal/proxy/outbound/session_test.go
+++ b/internal/proxy/outbound/session_test.go
@@ -16,14 +16,14 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// Server-sent events arrive one by one and outlive the route's time and a change
-// of configuration.
-func TestEventStreamOutlivesTimeAndConfiguration(t *testing.T) {
-	r := newRig(t)
+// Server-sent events are forwarded one by one, and the stream survives the route's
+// timeout and a change of configuration.
+func TestEventStreamOutlivesTimeoutAndConfiguration(t *testing.T) {
+	r := newHarness(t)
 	const timeout = 50 * time.Millisecond
 	r.configure(func(route *snapshot.Route) { route.Timeout = timeout })
 	next := make(chan string)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream; charset=utf-8")
 		for event := range next {
 			_, _ = fmt.Fprintf(w, "data: %s\n\n", event)
@@ -47,7 +47,7 @@
 	for number := range 20 {
 		r.configure(func(route *snapshot.Route) { route.Match.Host = fmt.Sprintf("host%d.test", number) })
 	}
-	timer := time.NewTimer(timeout - time.Since(began) + timeout) // the time of the route is over then
+	timer := time.NewTimer(timeout - time.Since(began) + timeout) // until the route's timeout has passed
 	<-timer.C
 	next <- "second"
 	expect("second")
@@ -56,11 +56,12 @@
 	r.Check(err, qt.Equals, io.EOF)
 }
 
-// An upgraded connection carries bytes both ways; each direction ends by itself.
+// An upgraded connection relays bytes in both directions, and each direction ends on
+// its own.
 func TestUpgrade(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(nil)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		conn, buffered, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			panic(err)
@@ -68,10 +69,10 @@
 		defer func() { _ = conn.Close() }()
 		_, _ = io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: echo\r\n"+
 			outcome.HeaderLoad+": 1\r\n\r\n")
-		all, _ := io.ReadAll(buffered) // until the caller ends its direction
+		all, _ := io.ReadAll(buffered) // until the caller closes its direction
 		_, _ = conn.Write(all)
 	})
-	conn, reader := r.raw("GET / HTTP/1.1\r\nHost: booking.test\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\nearly ")
+	conn, reader := r.sendRaw("GET / HTTP/1.1\r\nHost: booking.test\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\nearly ")
 	response, err := http.ReadResponse(reader, nil)
 	r.Assert(err, qt.IsNil)
 	r.Check(response.StatusCode, qt.Equals, http.StatusSwitchingProtocols)
@@ -84,11 +85,11 @@
 	r.Check(string(echoed), qt.Equals, "early late")
 }
 
-// Close cuts a session that would go on.
-func TestCloseCutsSessions(t *testing.T) {
-	r := newRig(t)
+// Close aborts a session that is still open.
+func TestCloseAbortsSessions(t *testing.T) {
+	r := newHarness(t)
 	r.configure(nil)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			panic(err)
@@ -97,7 +98,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n")
 		_, _ = io.Copy(io.Discard, conn)
 	})
-	_, reader := r.raw("GET / HTTP/1.1\r\nHost: booking.test\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n")
+	_, reader := r.sendRaw("GET / HTTP/1.1\r\nHost: booking.test\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n")
 	_, err := http.ReadResponse(reader, nil)
 	r.Assert(err, qt.IsNil)
 	r.Assert(r.proxy.Close(), qt.IsNil)
@@ -105,11 +106,11 @@
 	r.Check(err, qt.IsNotNil)
 }
 
-// The instance answers while the caller still sends.
-func TestBothDirectionsAtOnce(t *testing.T) {
-	r := newRig(t)
+// The instance responds while the caller is still sending.
+func TestFullDuplex(t *testing.T) {
+	r := newHarness(t)
 	r.configure(nil)
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		control := http.NewResponseController(w)
 		_ = control.EnableFullDuplex()
 		piece := make([]byte, 4)
@@ -141,13 +142,13 @@
 	r.Check(err, qt.Equals, io.EOF)
 }
 
-// A planned stop tells callers to close, lets a request and an upgraded session
-// end, and then has nothing left.
+// Drain asks callers to close their connections and returns only when the request in
+// progress has ended.
 func TestDrain(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.configure(nil)
 	arrived, release := make(chan struct{}), make(chan struct{})
-	r.instance("a", func(w http.ResponseWriter, request *http.Request) {
+	r.addInstance("a", func(w http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/slow" {
 			close(arrived)
 			<-release
@@ -171,7 +172,7 @@
 	r.Check(response.Close, qt.IsTrue)
 	select {
 	case <-drained:
-		t.Fatal("drained with a request in progress")
+		t.Fatal("Drain returned while a request was in progress")
 	default:
 	}
 	close(release)
--- a/internal/proxy/outbound/transport.go
+++ b/internal/proxy/outbound/transport.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// connectTimeout bounds one connection attempt, TLS included.
+	// connectTimeout bounds one connection attempt, including the TLS handshake.
 	connectTimeout = time.Second
-	// idleTimeout ends unused connections. It is below the idle timeout of the
-	// inbound proxy, so that a request does not meet a connection being closed.
+	// idleTimeout closes idle connections. It is below the idle timeout of the inbound
+	// proxy, so that a request is not sent on a connection that is being closed.
 	idleTimeout = 30 * time.Second
-	// keepAlivePeriod is between the probes of a silent connection.
+	// keepAlivePeriod is the TCP keep-alive period.
 	keepAlivePeriod = 15 * time.Second
-	// idlePerInstance and idleInAll bound the unused connections kept.
-	idlePerInstance = 64
-	idleInAll       = 2048
+	// maxIdlePerInstance and maxIdleTotal bound the number of idle connections.
+	maxIdlePerInstance = 64
+	maxIdleTotal       = 2048
 	// continueTimeout is how long a body waits for "100 Continue".
 	continueTimeout = time.Second
-	// maxAnswerHeaderBytes bounds the header of an answer.
-	maxAnswerHeaderBytes = 1 << 20
+	// maxResponseHeaderBytes bounds the header of a response.
+	maxResponseHeaderBytes = 1 << 20
 )
 
-// newTransport returns the connections to the inbound proxies. The scheme is
-// always http: dial adds TLS itself, below the forward.Conn.
+// newTransport returns the transport for requests to the inbound proxies. The scheme
+// is always http: dialTracked adds TLS itself, below the forward.Conn.
 func newTransport(config *tls.Config) *http.Transport {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: keepAlivePeriod}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -42,11 +42,11 @@
 		DialContext:            dial,
 		Protocols:              protocols,
 		DisableCompression:     true,
-		MaxIdleConns:           idleInAll,
-		MaxIdleConnsPerHost:    idlePerInstance,
+		MaxIdleConns:           maxIdleTotal,
+		MaxIdleConnsPerHost:    maxIdlePerInstance,
 		IdleConnTimeout:        idleTimeout,
 		ExpectContinueTimeout:  continueTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeaderBytes,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 	}
 }
 
@@ -68,8 +68,8 @@
 	return forward.NewConn(secured, false), nil
 }
 
-// withServerName sets the name to verify to the address's host, unless the
-// settings give one or verify in their own way.
+// withServerName sets the server name to verify to the host of the address, unless
+// config contains one or verifies certificates in its own way.
 func withServerName(config *tls.Config, address string) *tls.Config {
 	if config.ServerName != "" || config.InsecureSkipVerify {
 		return config
