--- a/internal/proxy/balance/balance.go
+++ b/internal/proxy/balance/balance.go
@@ -1,7 +1,7 @@
-// Package balance decides which instance of a service gets a request. It keeps
-// what this node observed about each instance: requests in flight, reported
-// load, failures, age. Time and random numbers are passed in; it does no input
-// or output.
+// Package balance decides which instance of a service gets a request. It stores
+// what this node observed about each instance: requests in flight, reported load,
+// failures and age. Time and random numbers are passed in; the package does no
+// input or output.
 package balance
 
 import (
@@ -13,21 +13,21 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// Mode names a way of choosing.
+// Mode is a load balancing algorithm.
 type Mode string
 
-// The modes, as in the settings.
+// The modes, with their values in the settings.
 const (
-	// TwoChoices takes the less loaded of two random instances and uses all that
-	// was observed.
+	// TwoChoices chooses the less loaded of two random instances and uses all
+	// observations.
 	TwoChoices Mode = "two-choices"
-	// Random is a plain baseline: any instance with equal chance, observations
-	// unused.
+	// Random is a baseline for comparison: every instance has the same probability,
+	// and observations are not used.
 	Random Mode = "random"
 )
 
-// Key names one process of an instance. A later process at the same address
-// has another incarnation and so starts with a clean state.
+// Key identifies one process of an instance. A later process at the same address has
+// another incarnation, so it does not inherit the observations.
 type Key struct {
 	Node        membership.NodeID
 	Incarnation membership.Incarnation
@@ -38,14 +38,14 @@
 	return Key{Node: endpoint.Node, Incarnation: endpoint.Incarnation}
 }
 
-// Request is what the choice depends on, besides what was observed.
+// Request contains the inputs of a choice other than the observations.
 type Request struct {
 	Service string
-	// Endpoints are the instances that may take new work. The slice must not
-	// change after it was passed in: its identity is the key of a cache.
+	// Endpoints are the instances that accept new requests. The slice must not be
+	// modified after it was passed in, because a cache is keyed by its identity.
 	Endpoints []membership.Endpoint
-	// PreferZone keeps the request in the own zone, then in the own region,
-	// while instances there are loaded less than SpillOver (0: the default).
+	// PreferZone keeps the request in this node's zone, or else in its region, as
+	// long as instances there have a load below SpillOver (0: the default).
 	PreferZone bool
 	SpillOver  float64
 	// Tried are the instances that this request was already sent to.
@@ -63,17 +63,17 @@
 	services map[string]*service
 }
 
-// Options are what a Balancer is made from.
+// Options configures a Balancer.
 type Options struct {
 	Mode Mode
 	// Region and Zone are where this node runs.
 	Region string
 	Zone   string
-	// Source gives the random numbers.
+	// Source provides the random numbers.
 	Source rand.Source
 }
 
-// New returns a Balancer that knows no instance yet.
+// New returns a Balancer without any instances.
 func New(options Options) *Balancer {
 	return &Balancer{
 		mode:     options.Mode,
@@ -84,17 +84,16 @@
 	}
 }
 
-// service is what is known of the instances of one service.
+// service is the state of one service and its instances.
 type service struct {
 	knownSince time.Time
-	endpoints  []membership.Endpoint // as last seen; identity tells a new view
+	endpoints  []membership.Endpoint // of the last request; a different slice means a new view
 	candidates []*instance           // parallel to endpoints
-	byKey      map[Key]*instance     // instances in the view, and those with state to keep
+	byKey      map[Key]*instance     // instances in the view and those whose state is still needed
 }
 
-// Pick chooses an instance and counts the request as in flight there; the caller
-// must call Done once with the result. It reports false when no instance may be
-// asked.
+// Pick chooses an instance and counts the request as in flight there; the caller must
+// call Done on the choice. It returns false if no instance may be tried.
 func (b *Balancer) Pick(request Request) (*Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,14 +109,14 @@
 			return eligible(candidate, wanted)
 		})
 		if chosen != nil {
-			return b.begin(known, chosen), true
+			return b.startRequest(known, chosen), true
 		}
 	}
 	return nil, false
 }
 
-// PickExactly takes the given instance, whatever was observed about it. It
-// serves requests that only one instance may run.
+// PickExactly chooses the given instance regardless of observations. It is for
+// requests that only one instance may run.
 func (b *Balancer) PickExactly(serviceName string, endpoint membership.Endpoint) *Choice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,10 +126,10 @@
 		found = &instance{key: KeyOf(endpoint), endpoint: endpoint}
 		known.byKey[found.key] = found
 	}
-	return b.begin(known, found)
+	return b.startRequest(known, found)
 }
 
-func (b *Balancer) begin(known *service, chosen *instance) *Choice {
+func (b *Balancer) startRequest(known *service, chosen *instance) *Choice {
 	chosen.inFlight++
 	return &Choice{Endpoint: chosen.endpoint, balancer: b, service: known, instance: chosen}
 }
@@ -144,7 +143,7 @@
 	return known
 }
 
-// refresh takes over the endpoints of a new view.
+// refresh updates the instances of the service if the request has a new view.
 func (b *Balancer) refresh(request Request) *service {
 	known := b.service(request.Service)
 	if sameSlice(known.endpoints, request.Endpoints) {
@@ -157,9 +156,9 @@
 	known.endpoints = request.Endpoints
 	known.candidates = make([]*instance, len(request.Endpoints))
 	for index, endpoint := range request.Endpoints {
-		known.candidates[index] = known.takeIn(endpoint, slices.ContainsFunc(previous, isProcess(endpoint)), request.Now)
+		known.candidates[index] = known.instanceFor(endpoint, slices.ContainsFunc(previous, isProcess(endpoint)), request.Now)
 	}
-	known.forget(request.Now)
+	known.removeStale(request.Now)
 	return known
 }
 
@@ -168,10 +167,10 @@
 	return func(candidate *instance) bool { return candidate.key == key }
 }
 
-// takeIn returns the instance of an endpoint in the view. One that has just
-// joined starts slowly, unless this node has just met the whole service: then it
-// is the node that is new.
-func (s *service) takeIn(endpoint membership.Endpoint, wasInView bool, now time.Time) *instance {
+// instanceFor returns the instance of an endpoint in the view. An instance that has
+// just joined begins a slow start, unless this node has known the service only for a
+// short time: then its instances may have been running for long.
+func (s *service) instanceFor(endpoint membership.Endpoint, wasInView bool, now time.Time) *instance {
 	key := KeyOf(endpoint)
 	found, ok := s.byKey[key]
 	if !ok {
@@ -180,7 +179,7 @@
 	}
 	found.endpoint = endpoint
 	if !wasInView {
-		found.leavingUntil = time.Time{} // what it said was before
+		found.leavingUntil = time.Time{} // the report is from before it left the view
 	}
 	if !wasInView && now.Sub(s.knownSince) > slowStart {
 		found.startedAt = now
@@ -188,8 +187,9 @@
 	return found
 }
 
-// forget drops the instances that left the view and have no state worth keeping.
-func (s *service) forget(now time.Time) {
+// removeStale removes the instances that left the view, have no requests in flight and
+// are not ejected.
+func (s *service) removeStale(now time.Time) {
 	for key, candidate := range s.byKey {
 		if candidate.inFlight == 0 && !candidate.ejectedAt(now) && !slices.Contains(s.candidates, candidate) {
 			delete(s.byKey, key)
@@ -197,8 +197,8 @@
 	}
 }
 
-// sameSlice reports whether both are the same part of the same array. The view
-// that owns an array is kept alive by the reference, so its address is not reused.
+// sameSlice reports whether both slices are the same part of the same array. The stored
+// reference keeps the array alive, so its address cannot be reused.
 func sameSlice(one, other []membership.Endpoint) bool {
 	if len(one) != len(other) || len(one) == 0 {
 		return false
@@ -213,5 +213,5 @@
 	if chosen == nil {
 		return nil, false
 	}
-	return b.begin(known, chosen), true
+	return b.startRequest(known, chosen), true
 }
--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -14,21 +14,21 @@
 	"github.com/winchhead/winchhead/internal/proxy/balance"
 )
 
-var begin = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-// later is past any slow start, ejection and load report of a test.
-const later = 10 * time.Minute
+// afterExpiry is longer than any slow start, ejection and load report.
+const afterExpiry = 10 * time.Minute
 
-// bench holds a balancer in zone centro of region south, with virtual time.
-type bench struct {
+// fixture is a balancer in zone centro of region south with virtual time.
+type fixture struct {
 	balancer  *balance.Balancer
 	endpoints []membership.Endpoint
 	now       time.Time
 	request   balance.Request
 }
 
-func newBench(mode balance.Mode, zones ...string) *bench {
-	b := &bench{now: begin, balancer: balance.New(balance.Options{
+func newFixture(mode balance.Mode, zones ...string) *fixture {
+	b := &fixture{now: startTime, balancer: balance.New(balance.Options{
 		Mode: mode, Region: "south", Zone: "centro", Source: rand.NewPCG(1, 2),
 	})}
 	for i, zone := range zones {
@@ -45,20 +45,20 @@
 	}
 }
 
-func (b *bench) pick() (*balance.Choice, bool) {
+func (b *fixture) pick() (*balance.Choice, bool) {
 	request := b.request
 	request.Endpoints, request.Now = b.endpoints, b.now
 	return b.balancer.Pick(request)
 }
 
-// change replaces the view, as views are immutable.
-func (b *bench) change(edit func([]membership.Endpoint) []membership.Endpoint) {
+// changeView replaces the endpoints by an edited copy, because views are immutable.
+func (b *fixture) changeView(edit func([]membership.Endpoint) []membership.Endpoint) {
 	b.endpoints = edit(append([]membership.Endpoint(nil), b.endpoints...))
 }
 
-// observe picks until the instance comes up and ends that request; the others
-// end without an observation.
-func (b *bench) observe(t testing.TB, node string, observed balance.Observation) (ejected bool) {
+// observe picks until the given instance is chosen and ends that request with the
+// observation. The other requests end as cancelled.
+func (b *fixture) observe(t testing.TB, node string, observed balance.Observation) (ejected bool) {
 	for range 10_000 {
 		choice, ok := b.pick()
 		if !ok {
@@ -69,12 +69,13 @@
 		}
 		choice.Done(balance.Cancelled, b.now)
 	}
-	t.Fatalf("instance %s is not picked", node)
+	t.Fatalf("instance %s was never picked", node)
 	return false
 }
 
-// shares picks n times, each request ended before the next, and counts.
-func (b *bench) shares(n int) map[membership.NodeID]int {
+// countPicks picks n times, each request ended before the next, and returns the number
+// of picks of each instance.
+func (b *fixture) countPicks(n int) map[membership.NodeID]int {
 	counts := make(map[membership.NodeID]int)
 	for range n {
 		choice, ok := b.pick()
@@ -87,10 +88,10 @@
 	return counts
 }
 
-func TestLoadIsAvoided(t *testing.T) {
+func TestLoadedInstancesAreAvoided(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(balance.TwoChoices, "centro", "centro", "centro", "centro")
-	for range 40 { // all slots of all instances
+	b := newFixture(balance.TwoChoices, "centro", "centro", "centro", "centro")
+	for range 40 { // use all slots of all instances
 		_, ok := b.pick()
 		c.Assert(ok, qt.IsTrue)
 	}
@@ -104,7 +105,7 @@
 	}
 }
 
-// A reported load turns work away while it is fresh, and no longer.
+// An instance with a high reported load is avoided, but only while the report is fresh.
 func TestReportedLoad(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -113,26 +114,26 @@
 		avoided bool
 	}{
 		{"fresh", 0.9, 0, true},
-		{"old", 0.9, later, false},
+		{"old", 0.9, afterExpiry, false},
 		{"not a number", math.NaN(), 0, false},
-		{"below zero", -1, 0, false},
-		{"absurd", math.Inf(1), 0, true},
+		{"negative", -1, 0, false},
+		{"infinite", math.Inf(1), 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(balance.TwoChoices, "centro", "centro")
+			b := newFixture(balance.TwoChoices, "centro", "centro")
 			choice, _ := b.pick()
 			loaded := choice.Endpoint.Node
 			choice.Done(balance.Answered, b.now)
 			choice.Report(test.load, b.now)
 			b.now = b.now.Add(test.age)
-			qt.Check(t, b.shares(100)[loaded] == 0, qt.Equals, test.avoided)
+			qt.Check(t, b.countPicks(100)[loaded] == 0, qt.Equals, test.avoided)
 		})
 	}
 }
 
-// An instance that refuses or fails at once has nothing in flight; it must not
-// draw the work for that.
-func TestFastRefusalsDrawNoWork(t *testing.T) {
+// An instance that refuses or fails at once has no requests in flight. It must not get
+// more requests because of that.
+func TestFastRefusalsDoNotAttractRequests(t *testing.T) {
 	for _, test := range []struct {
 		observed balance.Observation
 		times    int
@@ -141,23 +142,23 @@
 		{balance.Failed, 3},
 	} {
 		c := qt.New(t)
-		b := newBench(balance.TwoChoices, "centro", "centro", "centro")
+		b := newFixture(balance.TwoChoices, "centro", "centro", "centro")
 		for range 3 {
 			b.observe(t, "1", balance.Failed)
 		}
-		for range test.times { // "0" cannot be ejected any more
+		for range test.times { // "0" cannot be ejected, as "1" already is
 			c.Check(b.observe(t, "0", test.observed), qt.IsFalse)
 		}
-		c.Check(b.shares(100), qt.DeepEquals, map[membership.NodeID]int{"2": 100})
-		b.now = b.now.Add(later)
-		c.Check(b.shares(100)["0"] > 0, qt.IsTrue)
+		c.Check(b.countPicks(100), qt.DeepEquals, map[membership.NodeID]int{"2": 100})
+		b.now = b.now.Add(afterExpiry)
+		c.Check(b.countPicks(100)["0"] > 0, qt.IsTrue)
 	}
 }
 
 func TestZonePreference(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		inFlight int // in the own zone
+		inFlight int // in the balancer's zone
 		want     map[membership.NodeID]bool
 	}{
 		{"room in the zone", 4, map[membership.NodeID]bool{"0": true}},
@@ -165,115 +166,115 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(balance.TwoChoices, "centro", "cerro", "prado")
+			b := newFixture(balance.TwoChoices, "centro", "cerro", "prado")
 			b.endpoints[2].Region = "north"
 			b.request.PreferZone, b.request.SpillOver = true, 0.5
 			for range test.inFlight {
 				b.balancer.PickExactly("reservas", b.endpoints[0])
 			}
-			for node := range b.shares(50) {
+			for node := range b.countPicks(50) {
 				c.Check(test.want[node], qt.IsTrue, qt.Commentf("instance %s", node))
 			}
 		})
 	}
 }
 
-// An instance that joins gets a tenth of a share at first and all of it in the
-// end; those of the first view get theirs at once.
+// An instance that joins gets a tenth of its share at first and its full share in the
+// end. Instances of the first view get their full share at once.
 func TestSlowStart(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(balance.TwoChoices, "centro", "centro", "centro")
-	c.Check(b.shares(900)["2"] > 200, qt.IsTrue)
-	b.now = b.now.Add(later)
-	b.change(func(all []membership.Endpoint) []membership.Endpoint { return append(all, endpoint(3, "centro")) })
-	early := b.shares(1000)["3"]
+	b := newFixture(balance.TwoChoices, "centro", "centro", "centro")
+	c.Check(b.countPicks(900)["2"] > 200, qt.IsTrue)
+	b.now = b.now.Add(afterExpiry)
+	b.changeView(func(all []membership.Endpoint) []membership.Endpoint { return append(all, endpoint(3, "centro")) })
+	early := b.countPicks(1000)["3"]
 	c.Check(early > 0 && early < 100, qt.IsTrue, qt.Commentf("%d of 1000", early))
-	b.now = b.now.Add(later)
-	c.Check(b.shares(1000)["3"] > 200, qt.IsTrue)
+	b.now = b.now.Add(afterExpiry)
+	c.Check(b.countPicks(1000)["3"] > 200, qt.IsTrue)
 
-	// A new process at the old name starts slowly too.
-	b.change(func(all []membership.Endpoint) []membership.Endpoint {
+	// A new process of the same node begins a slow start too.
+	b.changeView(func(all []membership.Endpoint) []membership.Endpoint {
 		all[0].Incarnation++
 		return all
 	})
-	again := b.shares(1000)["0"]
+	again := b.countPicks(1000)["0"]
 	c.Check(again > 0 && again < 100, qt.IsTrue, qt.Commentf("%d of 1000", again))
 }
 
 func TestEjection(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(balance.TwoChoices, "centro", "centro", "centro", "centro")
+	b := newFixture(balance.TwoChoices, "centro", "centro", "centro", "centro")
 	fail := func(node string) bool { return b.observe(t, node, balance.Failed) }
 	c.Check(fail("0"), qt.IsFalse)
 	c.Check(fail("0"), qt.IsFalse)
-	b.observe(t, "0", balance.Answered) // failures in a row count
+	b.observe(t, "0", balance.Answered) // resets the count of consecutive failures
 	c.Check(fail("0"), qt.IsFalse)
 	c.Check(fail("0"), qt.IsFalse)
 	c.Check(fail("0"), qt.IsTrue)
-	c.Check(b.shares(200)["0"], qt.Equals, 0)
+	c.Check(b.countPicks(200)["0"], qt.Equals, 0)
 
 	b.now = b.now.Add(time.Second)
-	c.Check(fail("0"), qt.IsTrue) // one failure is enough now, for twice the time
+	c.Check(fail("0"), qt.IsTrue) // one failure is enough now, and the ejection lasts twice as long
 	b.now = b.now.Add(time.Second)
-	c.Check(b.shares(200)["0"], qt.Equals, 0)
+	c.Check(b.countPicks(200)["0"], qt.Equals, 0)
 	b.now = b.now.Add(time.Second)
-	c.Check(b.shares(200)["0"] > 0, qt.IsTrue)
+	c.Check(b.countPicks(200)["0"] > 0, qt.IsTrue)
 }
 
-func TestLeavingAndSuspectedAreLastChoices(t *testing.T) {
+func TestLeavingAndSuspectedAreChosenLast(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(balance.TwoChoices, "centro", "centro")
+	b := newFixture(balance.TwoChoices, "centro", "centro")
 	b.endpoints[0].Suspected = true
-	c.Check(b.shares(100), qt.DeepEquals, map[membership.NodeID]int{"1": 100})
+	c.Check(b.countPicks(100), qt.DeepEquals, map[membership.NodeID]int{"1": 100})
 	b.observe(t, "1", balance.Leaving)
-	c.Check(b.shares(100), qt.DeepEquals, map[membership.NodeID]int{"0": 100})
-	b.observe(t, "0", balance.Leaving) // the view names them still: better than none
-	c.Check(len(b.shares(100)) > 0, qt.IsTrue)
-	b.now = b.now.Add(later)
-	c.Check(b.shares(100), qt.DeepEquals, map[membership.NodeID]int{"1": 100})
+	c.Check(b.countPicks(100), qt.DeepEquals, map[membership.NodeID]int{"0": 100})
+	b.observe(t, "0", balance.Leaving) // the view still has them, so they are used as a last resort
+	c.Check(len(b.countPicks(100)) > 0, qt.IsTrue)
+	b.now = b.now.Add(afterExpiry)
+	c.Check(b.countPicks(100), qt.DeepEquals, map[membership.NodeID]int{"1": 100})
 }
 
-// An instance that left the view and is back in it drains no longer, whatever it
-// said before, also while old requests run on it.
-func TestBackInTheViewIsNotLeaving(t *testing.T) {
+// An instance that left the view and came back is no longer regarded as draining, even
+// if requests from before are still in flight on it.
+func TestReturnToViewEndsLeaving(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(balance.TwoChoices, "centro", "centro")
-	for _, endpoint := range b.endpoints { // the old requests
+	b := newFixture(balance.TwoChoices, "centro", "centro")
+	for _, endpoint := range b.endpoints { // requests from before
 		b.balancer.PickExactly("reservas", endpoint)
 	}
 	b.observe(t, "0", balance.Leaving)
-	c.Check(b.shares(100), qt.DeepEquals, map[membership.NodeID]int{"1": 100})
+	c.Check(b.countPicks(100), qt.DeepEquals, map[membership.NodeID]int{"1": 100})
 	whole := b.endpoints
-	b.change(func(all []membership.Endpoint) []membership.Endpoint { return all[1:] })
-	b.shares(1)
-	b.change(func([]membership.Endpoint) []membership.Endpoint { return whole })
+	b.changeView(func(all []membership.Endpoint) []membership.Endpoint { return all[1:] })
+	b.countPicks(1)
+	b.changeView(func([]membership.Endpoint) []membership.Endpoint { return whole })
 	b.observe(t, "1", balance.Leaving)
-	c.Check(b.shares(100), qt.DeepEquals, map[membership.NodeID]int{"0": 100})
+	c.Check(b.countPicks(100), qt.DeepEquals, map[membership.NodeID]int{"0": 100})
 }
 
 func TestRandomIgnoresObservations(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(balance.Random, "centro", "prado")
+	b := newFixture(balance.Random, "centro", "prado")
 	for range 10 {
 		c.Check(b.observe(t, "0", balance.Failed), qt.IsFalse)
 	}
-	counts := b.shares(1000)
+	counts := b.countPicks(1000)
 	c.Check(counts["0"] > 400 && counts["1"] > 400, qt.IsTrue, qt.Commentf("%v", counts))
 }
 
-// Whatever is observed in whatever order, a service with an instance that does
-// not drain is never empty, no request goes to one tried before, and at least
-// half of the instances are not ejected.
-func TestAServiceIsNeverEmptied(t *testing.T) {
+// For any sequence of failures, refusals and responses, Pick finds an instance until all
+// were tried, never returns one that was tried before, and at most half of the instances
+// are ejected.
+func TestServiceKeepsEligibleInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.SliceOfN(rapid.SampledFrom([]string{"centro", "prado"}), 1, 7).Draw(t, "zones")
-		b := newBench(balance.TwoChoices, zones...)
+		b := newFixture(balance.TwoChoices, zones...)
 		b.request.PreferZone = rapid.Bool().Draw(t, "prefer zone")
 		ejectedUntil := make(map[membership.NodeID]time.Time)
 		for range rapid.IntRange(0, 80).Draw(t, "steps") {
 			choice, ok := b.pick()
 			if !ok {
-				t.Fatalf("no instance of %d", len(zones))
+				t.Fatalf("Pick returned none of %d instances", len(zones))
 			}
 			observed := rapid.SampledFrom([]balance.Observation{balance.Failed, balance.Failed, balance.Refused, balance.Answered}).Draw(t, "observed")
 			if choice.Done(observed, b.now) {
@@ -299,7 +300,7 @@
 			b.request.Tried = append(b.request.Tried, balance.KeyOf(choice.Endpoint))
 		}
 		if _, ok := b.pick(); ok {
-			t.Fatalf("an instance was tried twice")
+			t.Fatalf("Pick returned an instance that was tried before")
 		}
 	})
 }
@@ -309,11 +310,11 @@
 	for i := range zones {
 		zones[i] = []string{"centro", "prado", "cerro"}[i%3]
 	}
-	bench := newBench(balance.TwoChoices, zones...)
-	bench.request.PreferZone = true
+	fixture := newFixture(balance.TwoChoices, zones...)
+	fixture.request.PreferZone = true
 	b.ReportAllocs()
 	for b.Loop() {
-		choice, _ := bench.pick()
-		choice.Done(balance.Answered, bench.now)
+		choice, _ := fixture.pick()
+		choice.Done(balance.Answered, fixture.now)
 	}
 }
--- a/internal/proxy/balance/choose.go
+++ b/internal/proxy/balance/choose.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// defaultSpillOver is the load above which requests leave the own zone when
-	// the route says nothing.
+	// defaultSpillOver is the load above which requests leave this node's zone if the
+	// route does not set one.
 	defaultSpillOver = 0.8
-	// slowStartDraws bounds how often a starting instance is passed over in one
-	// choice, so that a service of starting instances still takes work.
-	slowStartDraws = 3
+	// maxSlowStartDraws bounds how often starting instances are skipped in one draw,
+	// so that a service with only starting instances still gets requests.
+	maxSlowStartDraws = 3
 )
 
 type eligibility func(*instance) bool
 
 // pickByZone chooses among the eligible instances. With a zone preference it
-// widens the circle (zone, region, all) until an instance has room, and takes
-// the least loaded of those met when none has.
+// widens the scope (zone, region, all) until the chosen instance has a load below the
+// spill-over load; if there is none, it returns the least loaded of those chosen.
 func (b *Balancer) pickByZone(candidates []*instance, request Request, eligible eligibility) *instance {
 	if !request.PreferZone {
 		return b.pickOfTwo(candidates, request.Now, eligible)
@@ -24,14 +24,14 @@
 	if spillOver <= 0 {
 		spillOver = defaultSpillOver
 	}
-	circles := [...]eligibility{
+	scopes := [...]eligibility{
 		func(candidate *instance) bool { return b.inZone(candidate) && eligible(candidate) },
 		func(candidate *instance) bool { return b.inRegion(candidate) && eligible(candidate) },
 		eligible,
 	}
 	var best *instance
-	for _, circle := range circles {
-		chosen := b.pickOfTwo(candidates, request.Now, circle)
+	for _, scope := range scopes {
+		chosen := b.pickOfTwo(candidates, request.Now, scope)
 		best = lessLoaded(best, chosen, request.Now)
 		if best != nil && best.loadAt(request.Now) < spillOver {
 			return best
@@ -48,7 +48,7 @@
 	return candidate.endpoint.Region == b.region
 }
 
-// pickOfTwo takes the less loaded of two different random instances.
+// pickOfTwo returns the less loaded of two different random instances.
 func (b *Balancer) pickOfTwo(candidates []*instance, now time.Time, eligible eligibility) *instance {
 	first := b.sample(candidates, now, eligible)
 	if first == nil {
@@ -60,7 +60,7 @@
 	return lessLoaded(first, second, now)
 }
 
-// lessLoaded returns the instance with the lower load, the first when equal.
+// lessLoaded returns the instance with the lower load, or first if they are equal.
 // Either may be nil.
 func lessLoaded(first, second *instance, now time.Time) *instance {
 	switch {
@@ -75,21 +75,22 @@
 	}
 }
 
-// sample draws one eligible instance. A starting instance is passed over with
-// the share of work that it is not yet to get.
+// sample draws one eligible instance. An instance in slow start is skipped with the
+// probability 1 - slowStartShareAt.
 func (b *Balancer) sample(candidates []*instance, now time.Time, eligible eligibility) *instance {
 	var drawn *instance
-	for range slowStartDraws {
+	for range maxSlowStartDraws {
 		drawn = b.sampleEvenly(candidates, eligible)
-		if drawn == nil || b.random.Float64() < drawn.warmthAt(now) {
+		if drawn == nil || b.random.Float64() < drawn.slowStartShareAt(now) {
 			return drawn
 		}
 	}
 	return drawn
 }
 
-// sampleEvenly draws one eligible instance, all with equal chance: a few random
-// tries, which succeed while most are eligible, then one pass over all.
+// sampleEvenly draws one eligible instance with equal probability: first a few random
+// tries, which usually succeed if most instances are eligible, then one pass over all
+// (reservoir sampling).
 func (b *Balancer) sampleEvenly(candidates []*instance, eligible eligibility) *instance {
 	if len(candidates) == 0 {
 		return nil
--- a/internal/proxy/balance/instance.go
+++ b/internal/proxy/balance/instance.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// slowStart is how long a new instance takes to get its full share of work.
+	// slowStart is how long it takes until a new instance gets its full share of
+	// requests.
 	slowStart = 10 * time.Second
-	// minimumWarmth is the share a new instance starts with.
-	minimumWarmth = 0.1
-	// reportLifetime is how long a load report counts; its weight falls evenly.
+	// minSlowStartShare is the share of requests that a new instance starts with.
+	minSlowStartShare = 0.1
+	// reportLifetime is how long a load report is used; its weight decreases linearly.
 	reportLifetime = 3 * time.Second
-	// maximumReport bounds a reported load, which may be wrong. It leaves room for
-	// long queues.
-	maximumReport = 4.0
-	// refusedLoad stands in for a report after a refusal, and after a failure of an
-	// instance that cannot be ejected: one that answers so at once has nothing in
-	// flight, and would otherwise draw the work of the sound ones.
-	refusedLoad = maximumReport
-	// defaultSlots stands in for instances that do not tell their slots.
+	// maxReportedLoad bounds a reported load, which may be wrong. It is above 1 to
+	// allow for long queues.
+	maxReportedLoad = 4.0
+	// penaltyLoad is recorded as the load of an instance after a refusal, and after a
+	// failure if the instance cannot be ejected. An instance that refuses or fails at
+	// once has few requests in flight and would otherwise attract most requests.
+	penaltyLoad = maxReportedLoad
+	// defaultSlots is assumed for instances that do not report their slots.
 	defaultSlots = 10
-	// leavingLifetime is how long an instance that said it drains is passed over:
-	// long enough for the view to say the same.
+	// leavingLifetime is how long an instance that reported draining is avoided. It is
+	// long enough for the view to be updated.
 	leavingLifetime = 3 * time.Second
-	// failuresToEject is how many failures in a row eject an instance.
+	// failuresToEject is how many consecutive failures eject an instance.
 	failuresToEject = 3
-	// firstEjection and longestEjection bound how long an ejection lasts; it
-	// doubles each time.
-	firstEjection   = time.Second
-	longestEjection = 30 * time.Second
+	// baseEjectionTime is how long the first ejection lasts; each further one lasts
+	// twice as long, up to maxEjectionTime.
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 30 * time.Second
 )
 
-// class orders instances: a class is used only when those before it are empty.
+// class is the preference order of instances: a class is used only if no instance of
+// an earlier one is eligible.
 type class uint8
 
 const (
@@ -43,13 +45,13 @@
 	classLeaving
 )
 
-// instance is what this node observed about one process.
+// instance stores what this node observed about one process.
 type instance struct {
 	key      Key
 	endpoint membership.Endpoint
 	inFlight int
 
-	// startedAt is when a slow start began; zero: none.
+	// startedAt is when the slow start began; zero: no slow start.
 	startedAt time.Time
 
 	reportedLoad     float64
@@ -57,13 +59,14 @@
 	inFlightAtReport int
 
 	leavingUntil time.Time
-	failures     int // in a row
-	ejections    int // without a success in between
+	failures     int // consecutive
+	ejections    int // since the last success
 	ejectedUntil time.Time
 }
 
-// classAt returns the class at that time. A gone or draining instance is not in
-// the view; leaving tells that this node learnt it before the view.
+// classAt returns the class at the given time. Draining and ended instances are not in
+// the view; classLeaving is for those whose state this node learned before the view
+// was updated.
 func (i *instance) classAt(now time.Time) class {
 	switch {
 	case i.leavingAt(now):
@@ -81,8 +84,9 @@
 
 func (i *instance) ejectedAt(now time.Time) bool { return now.Before(i.ejectedUntil) }
 
-// warmthAt returns the share of work (0 to 1) that the instance is ready for.
-func (i *instance) warmthAt(now time.Time) float64 {
+// slowStartShareAt returns the share (0 to 1) of its regular requests that the instance
+// should get.
+func (i *instance) slowStartShareAt(now time.Time) float64 {
 	if i.startedAt.IsZero() {
 		return 1
 	}
@@ -90,19 +94,19 @@
 	if age >= slowStart {
 		return 1
 	}
-	return max(minimumWarmth, float64(age)/float64(slowStart))
+	return max(minSlowStartShare, float64(age)/float64(slowStart))
 }
 
-// count takes over a load, as a share of the slots.
-func (i *instance) count(load float64, now time.Time) {
+// setLoad records a load, as a share of the slots.
+func (i *instance) setLoad(load float64, now time.Time) {
 	i.reportedLoad = load
 	i.reportedAt = now
 	i.inFlightAtReport = i.inFlight
 }
 
-// loadAt estimates the used share of the slots: the last report while it is
-// fresh, corrected by what this node began and ended since, and at least the own
-// requests in flight.
+// loadAt estimates the used share of the slots. It is based on the last report while
+// that is fresh, corrected by the requests that this node began and ended since then,
+// and is at least the share used by this node's requests in flight.
 func (i *instance) loadAt(now time.Time) float64 {
 	slots := i.endpoint.Slots
 	if slots <= 0 {
--- a/internal/proxy/balance/observe.go
+++ b/internal/proxy/balance/observe.go
@@ -6,26 +6,26 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// Observation is what one send of a request told about an instance.
+// Observation is what the result of one attempt says about an instance.
 type Observation uint8
 
 // The observations.
 const (
-	// Answered is any whole answer of the back end.
+	// Answered is any complete response of the backend.
 	Answered Observation = iota + 1
-	// Refused is a refusal for want of room, such as shedding. It says nothing
-	// about health.
+	// Refused is a refusal for lack of capacity, such as load shedding. It says
+	// nothing about health.
 	Refused
-	// Failed is a failed connection, a broken one, a stalled answer or a 5xx of
-	// the system that is not a refusal.
+	// Failed is a failed or broken connection, a stalled response, or a 5xx response
+	// of a proxy that is not a refusal.
 	Failed
-	// Leaving is a refusal because the instance drains or is another process.
+	// Leaving is a refusal because the instance is draining or is another process.
 	Leaving
-	// Cancelled tells nothing, as when the caller went away.
+	// Cancelled says nothing about the instance, as when the caller disconnected.
 	Cancelled
 )
 
-// Choice is one request in flight to one instance.
+// Choice is the chosen instance for one request in flight.
 type Choice struct {
 	Endpoint membership.Endpoint
 
@@ -35,27 +35,27 @@
 	done     bool
 }
 
-// Report takes over the load that an answer of the instance told: used slots
-// over all slots. It is a hint and bounded, since it may lag or be wrong.
+// Report records the load that a response of the instance reported: used slots over
+// all slots. The value is capped, since it may be outdated or wrong.
 func (c *Choice) Report(load float64, now time.Time) {
-	if !(load >= 0) { // refuses NaN too
+	if !(load >= 0) { // also rejects NaN
 		return
 	}
 	c.balancer.mu.Lock()
 	defer c.balancer.mu.Unlock()
-	c.instance.count(min(load, maximumReport), now)
+	c.instance.setLoad(min(load, maxReportedLoad), now)
 }
 
-// Leave records that the instance drains: it gets no new work, while this
-// request may go on.
+// Leave records that the instance is draining, so that new requests avoid it. This
+// request may continue.
 func (c *Choice) Leave(now time.Time) {
 	c.balancer.mu.Lock()
 	defer c.balancer.mu.Unlock()
 	c.instance.leavingUntil = now.Add(leavingLifetime)
 }
 
-// Done ends the request. Only the first call counts. It reports whether the
-// instance was ejected because of it.
+// Done ends the request and records the observation. Calls after the first have no
+// effect. It reports whether the observation caused the instance to be ejected.
 func (c *Choice) Done(observed Observation, now time.Time) (ejected bool) {
 	c.balancer.mu.Lock()
 	defer c.balancer.mu.Unlock()
@@ -69,9 +69,9 @@
 		c.instance.failures = 0
 		c.instance.ejections = 0
 	case Failed:
-		ejected = c.balancer.fail(c.service, c.instance, now)
+		ejected = c.balancer.recordFailure(c.service, c.instance, now)
 	case Refused:
-		c.instance.count(refusedLoad, now)
+		c.instance.setLoad(penaltyLoad, now)
 	case Leaving:
 		c.instance.leavingUntil = now.Add(leavingLifetime)
 	case Cancelled:
@@ -79,16 +79,16 @@
 	return ejected
 }
 
-// fail counts a failure and ejects the instance after several in a row. When that
-// would leave less than half of the service, it counts as loaded instead. An instance back from an ejection is
-// ejected again by its first failure.
-func (b *Balancer) fail(known *service, failed *instance, now time.Time) (ejected bool) {
+// recordFailure counts a failure and ejects the instance after several consecutive
+// ones. If fewer than half of the instances would remain, it sets the penalty load
+// instead. An instance whose ejection has ended is ejected again by its first failure.
+func (b *Balancer) recordFailure(known *service, failed *instance, now time.Time) (ejected bool) {
 	failed.failures++
 	if failed.failures < failuresToEject || failed.ejectedAt(now) || b.mode == Random {
 		return false
 	}
-	if !known.mayEject(now) {
-		failed.count(refusedLoad, now)
+	if !known.canEject(now) {
+		failed.setLoad(penaltyLoad, now)
 		return false
 	}
 	failed.ejectedUntil = now.Add(ejectionTime(failed.ejections))
@@ -96,9 +96,9 @@
 	return true
 }
 
-// mayEject reports whether one more ejection leaves at least half of the
-// service.
-func (s *service) mayEject(now time.Time) bool {
+// canEject reports whether at least half of the instances remain after one more
+// ejection.
+func (s *service) canEject(now time.Time) bool {
 	ejected := 0
 	for _, candidate := range s.candidates {
 		if candidate.ejectedAt(now) {
@@ -108,13 +108,14 @@
 	return 2*(ejected+1) <= len(s.candidates)
 }
 
-// ejectionTime doubles with each ejection up to a bound.
+// ejectionTime returns how long an ejection lasts after the given number of earlier
+// ones.
 func ejectionTime(earlier int) time.Duration {
-	lasting := firstEjection
+	lasting := baseEjectionTime
 	for range earlier {
 		lasting *= 2
-		if lasting >= longestEjection {
-			return longestEjection
+		if lasting >= maxEjectionTime {
+			return maxEjectionTime
 		}
 	}
 	return lasting
