--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -3,15 +3,16 @@
 import "sync"
 
 const (
-	// budgetCapacity is the most retries that a quiet time saves up, per service.
+	// budgetCapacity is the maximum number of unused retries that a budget
+	// accumulates.
 	budgetCapacity = 10.0
-	// retryCost is what one retry takes from the budget.
+	// retryCost is the number of tokens that one retry takes from the budget.
 	retryCost = 1.0
 )
 
-// Budget is a token bucket: each request adds a share of a token, each retry
-// takes a whole one. Over any long time the retries then stay below that share
-// of the requests, whatever fails. It is safe for concurrent use.
+// Budget is a token bucket: each request adds a fraction of a token, each retry takes
+// a whole one. In the long run this bounds retries to that fraction of the requests,
+// however many of them fail. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	ratio  float64
@@ -28,7 +29,7 @@
 	return budget
 }
 
-// Deposit counts one request, its retries not included.
+// Deposit counts one request. It must not be called for retries.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/retry/retry.go
+++ b/internal/proxy/retry/retry.go
@@ -1,6 +1,5 @@
-// Package retry decides whether a request may be sent again and keeps the retry
-// budget of each service. Its decisions are pure: no input or output, no wall
-// clock.
+// Package retry decides whether a request may be retried and contains the retry
+// budget of a service. Its decisions are pure: no input or output, no wall clock.
 package retry
 
 import (
@@ -9,60 +8,59 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// minimumRemaining is the least time left for which a further attempt is made:
-// below it the answer would come too late anyway.
-const minimumRemaining = 2 * time.Millisecond
+// minRemaining is the minimum remaining time for a further attempt. With less, the
+// response would arrive after the deadline.
+const minRemaining = 2 * time.Millisecond
 
-// Attempt is what is known after one send of a request failed without an answer
-// of a back end.
+// Attempt describes an attempt that failed without a response of a backend.
 type Attempt struct {
-	// Number counts the sends of the request, the failed one included.
+	// Number is the number of attempts so far, including the failed one.
 	Number int
-	// MaxAttempts is the route's bound on Number.
+	// MaxAttempts is the maximum number of attempts on the route.
 	MaxAttempts int
-	// Outcome and Reason tell how the attempt failed.
+	// Outcome and Reason describe how the attempt failed.
 	Outcome outcome.Outcome
 	Reason  outcome.Reason
-	// MayRepeat tells whether the route lets the request run more than once.
+	// MayRepeat is set if the route allows the request to run more than once.
 	MayRepeat bool
-	// Pinned tells that only one instance may run the request, as it remembers
+	// Pinned is set if only one instance may run the request, because it remembers
 	// the request's Idempotency-Key.
 	Pinned bool
-	// BodyAvailable tells whether the whole body can be sent again.
+	// BodyAvailable is set if the whole body can be sent again.
 	BodyAvailable bool
-	// CallerGone tells that nobody waits for the answer.
+	// CallerGone is set if the caller has disconnected.
 	CallerGone bool
-	// Remaining is the time left for the request.
+	// Remaining is the time until the deadline of the request.
 	Remaining time.Duration
 }
 
-// Verdict is the decision on a failed attempt.
-type Verdict uint8
+// Decision is the decision on a failed attempt.
+type Decision uint8
 
-// The verdicts. All but Again end the request with the attempt's outcome.
+// The decisions. All except Again end the request with the attempt's outcome.
 const (
 	// Again allows a further attempt on another instance.
-	Again Verdict = iota + 1
-	// StopMayHaveRun ends a request that may have run and may not run twice.
+	Again Decision = iota + 1
+	// StopMayHaveRun ends a request that may have run and must not run twice.
 	StopMayHaveRun
 	// StopSameEverywhere ends a request that every instance would refuse.
 	StopSameEverywhere
-	// StopPinned ends a request that no other instance may take.
+	// StopPinned ends a request that no other instance may run.
 	StopPinned
 	// StopAttempts ends a request that used all its attempts.
 	StopAttempts
 	// StopDeadline ends a request without time for another attempt.
 	StopDeadline
-	// StopBody ends a request whose body is no longer at hand.
+	// StopBody ends a request whose body cannot be sent again.
 	StopBody
-	// StopCallerGone ends a request nobody waits for.
+	// StopCallerGone ends a request whose caller has disconnected.
 	StopCallerGone
 	// StopBudget ends a request because the retry budget of the service is empty.
 	StopBudget
 )
 
-// String returns the verdict for logs and metrics.
-func (v Verdict) String() string {
+// String returns the decision for logs and metrics.
+func (v Decision) String() string {
 	names := [...]string{
 		Again: "again", StopMayHaveRun: "may-have-run", StopSameEverywhere: "same-everywhere",
 		StopPinned: "pinned", StopAttempts: "attempts", StopDeadline: "deadline",
@@ -74,21 +72,21 @@
 	return names[v]
 }
 
-// Decide returns what to do after a failed attempt. The retry budget is not
-// looked at: the caller takes from it only after Again.
-func Decide(attempt Attempt) Verdict {
+// Decide returns what to do after a failed attempt. It does not use the retry budget:
+// the caller withdraws from the budget only after Again.
+func Decide(attempt Attempt) Decision {
 	switch {
 	case attempt.CallerGone:
 		return StopCallerGone
 	case attempt.Outcome != outcome.NotRun && !attempt.MayRepeat:
 		return StopMayHaveRun
-	case !differsByInstance(attempt.Reason):
+	case !dependsOnInstance(attempt.Reason):
 		return StopSameEverywhere
 	case attempt.Pinned && attempt.Reason != outcome.ReasonDraining:
 		return StopPinned
 	case attempt.Number >= attempt.MaxAttempts:
 		return StopAttempts
-	case attempt.Remaining < minimumRemaining:
+	case attempt.Remaining < minRemaining:
 		return StopDeadline
 	case !attempt.BodyAvailable:
 		return StopBody
@@ -97,8 +95,8 @@
 	}
 }
 
-// differsByInstance reports whether another instance may do better.
-func differsByInstance(reason outcome.Reason) bool {
+// dependsOnInstance reports whether another instance may be able to run the request.
+func dependsOnInstance(reason outcome.Reason) bool {
 	switch reason {
 	case outcome.ReasonConnect, outcome.ReasonBroken, outcome.ReasonOverloaded, outcome.ReasonRouteLimit,
 		outcome.ReasonDraining, outcome.ReasonNoInstance, outcome.ReasonWrongInstance,
--- a/internal/proxy/retry/retry_test.go
+++ b/internal/proxy/retry/retry_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func refused() retry.Attempt {
+func refusedAttempt() retry.Attempt {
 	return retry.Attempt{
 		Number: 1, MaxAttempts: 3, Outcome: outcome.NotRun, Reason: outcome.ReasonOverloaded,
 		BodyAvailable: true, Remaining: time.Second,
@@ -21,7 +21,7 @@
 	for _, test := range []struct {
 		fault  string
 		change func(*retry.Attempt)
-		want   retry.Verdict
+		want   retry.Decision
 	}{
 		{"refused as not run", func(a *retry.Attempt) {}, retry.Again},
 		{"connect failed", func(a *retry.Attempt) { a.Reason = outcome.ReasonConnect }, retry.Again},
@@ -32,13 +32,13 @@
 			a.Outcome, a.Reason, a.MayRepeat = outcome.Unknown, outcome.ReasonBroken, true
 		}, retry.Again},
 		{"no outcome at all", func(a *retry.Attempt) { a.Outcome = "" }, retry.StopMayHaveRun},
-		{"last attempt", func(a *retry.Attempt) { a.Number = 3 }, retry.StopAttempts},
+		{"attempts used up", func(a *retry.Attempt) { a.Number = 3 }, retry.StopAttempts},
 		{"route without attempts", func(a *retry.Attempt) { a.MaxAttempts = 0 }, retry.StopAttempts},
-		{"time over", func(a *retry.Attempt) { a.Remaining = 0 }, retry.StopDeadline},
+		{"no time remaining", func(a *retry.Attempt) { a.Remaining = 0 }, retry.StopDeadline},
 		{"deadline at the instance", func(a *retry.Attempt) { a.Reason = outcome.ReasonDeadline }, retry.StopSameEverywhere},
 		{"malformed", func(a *retry.Attempt) { a.Reason = outcome.ReasonBadRequest }, retry.StopSameEverywhere},
 		{"repeat in progress", func(a *retry.Attempt) { a.Reason = outcome.ReasonRepeatInProgress }, retry.StopSameEverywhere},
-		{"body consumed", func(a *retry.Attempt) { a.BodyAvailable = false }, retry.StopBody},
+		{"body not available", func(a *retry.Attempt) { a.BodyAvailable = false }, retry.StopBody},
 		{"caller gone", func(a *retry.Attempt) { a.CallerGone = true }, retry.StopCallerGone},
 		{"overloaded, pinned by key", func(a *retry.Attempt) { a.Pinned = true }, retry.StopPinned},
 		{"draining, pinned by key", func(a *retry.Attempt) {
@@ -46,16 +46,16 @@
 		}, retry.Again},
 	} {
 		t.Run(test.fault, func(t *testing.T) {
-			attempt := refused()
+			attempt := refusedAttempt()
 			test.change(&attempt)
 			qt.Assert(t, retry.Decide(attempt), qt.Equals, test.want)
 		})
 	}
 }
 
-// Whatever the other facts: what may have run and may not repeat is never sent
-// again, and nothing is sent beyond the attempts of the route.
-func TestDecideKeepsThePromise(t *testing.T) {
+// A request that may have run and must not run twice is never retried, and no request
+// is sent more often than the route allows, whatever the other fields contain.
+func TestDecideNeverRepeatsUnsafeRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := retry.Attempt{
 			Number:        rapid.IntRange(1, 5).Draw(t, "number"),
@@ -71,7 +71,7 @@
 			return
 		}
 		if attempt.Outcome != outcome.NotRun && !attempt.MayRepeat {
-			t.Fatalf("would run twice: %+v", attempt)
+			t.Fatalf("the request could run twice: %+v", attempt)
 		}
 		if attempt.Number >= attempt.MaxAttempts {
 			t.Fatalf("too many attempts: %+v", attempt)
@@ -79,7 +79,8 @@
 	})
 }
 
-// Retries stay below the ratio of the requests plus what was saved up.
+// The number of retries is bounded by the ratio times the requests plus the initial
+// budget.
 func TestBudget(t *testing.T) {
 	for _, test := range []struct {
 		ratio    float64
