--- a/internal/proxy/admission/controller.go
+++ b/internal/proxy/admission/controller.go
@@ -6,93 +6,94 @@
 	"time"
 )
 
-// Refusal tells why a request got no slot; it did not run.
+// Refusal states why a request got no slot. The request did not run.
 type Refusal struct {
 	Cause Cause
-	// RetryAfter is when a slot may be free; zero: not known.
+	// RetryAfter is the time until a slot may be free; zero: unknown.
 	RetryAfter time.Duration
 }
 
-// Controller is a Queue for goroutines: it hands slots to waiting requests by
-// channel. Its methods may be called from any goroutine.
+// Controller makes a Queue usable by goroutines: waiting requests receive their slots
+// through channels. It is safe for concurrent use.
 type Controller struct {
 	mu      sync.Mutex
 	queue   *Queue
 	pending map[Ticket]chan Event
 }
 
-// NewController returns a controller with nothing in use.
+// NewController returns a controller without any requests.
 func NewController(limits Limits) *Controller {
 	return &Controller{queue: NewQueue(limits), pending: map[Ticket]chan Event{}}
 }
 
-// Slot is the right to run one request. Release must be called once the back end
-// is done with it.
+// Slot is the permission to run one request. Release must be called when the backend
+// has finished the request.
 type Slot struct {
 	controller *Controller
 	ticket     Ticket
 	once       sync.Once
 }
 
-// Acquire waits for a slot until the request's deadline or the end of ctx (the
-// caller went away). It returns nil and the refusal when there is none.
+// Acquire waits for a slot until the request's deadline or until ctx ends because the
+// caller disconnected. If the request gets no slot, it returns nil and the refusal.
 func (c *Controller) Acquire(ctx context.Context, request Request) (*Slot, Refusal) {
-	verdict, grant := c.arrive(request)
-	if verdict.Granted {
-		return c.slot(verdict.Ticket), Refusal{}
+	decision, grant := c.arrive(request)
+	if decision.Granted {
+		return c.slot(decision.Ticket), Refusal{}
 	}
-	if verdict.Cause != CauseNone {
-		return nil, Refusal{Cause: verdict.Cause, RetryAfter: verdict.RetryAfter}
+	if decision.Cause != CauseNone {
+		return nil, Refusal{Cause: decision.Cause, RetryAfter: decision.RetryAfter}
 	}
 	timer := time.NewTimer(time.Until(request.Deadline))
 	defer timer.Stop()
 	select {
 	case event := <-grant:
-		return c.settle(event)
+		return c.resolve(event)
 	case <-timer.C:
-		return c.abandon(verdict.Ticket, grant, CauseExpired)
+		return c.abandon(decision.Ticket, grant, CauseExpired)
 	case <-ctx.Done():
-		return c.abandon(verdict.Ticket, grant, CauseCancelled)
+		return c.abandon(decision.Ticket, grant, CauseCancelled)
 	}
 }
 
-func (c *Controller) arrive(request Request) (Verdict, <-chan Event) {
+func (c *Controller) arrive(request Request) (Decision, <-chan Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	verdict, events := c.queue.Arrive(request, time.Now())
-	c.deliver(events)
-	if verdict.Granted || verdict.Cause != CauseNone {
-		return verdict, nil
+	decision, events := c.queue.Arrive(request, time.Now())
+	c.deliverEvents(events)
+	if decision.Granted || decision.Cause != CauseNone {
+		return decision, nil
 	}
 	grant := make(chan Event, 1)
-	c.pending[verdict.Ticket] = grant
-	return verdict, grant
+	c.pending[decision.Ticket] = grant
+	return decision, grant
 }
 
-// deliver hands events to those that wait; the channels never block.
-func (c *Controller) deliver(events []Event) {
+// deliverEvents sends events to the waiting requests. Each channel has room for its
+// only event, so sending never blocks.
+func (c *Controller) deliverEvents(events []Event) {
 	for _, event := range events {
 		c.pending[event.Ticket] <- event
 		delete(c.pending, event.Ticket)
 	}
 }
 
-func (c *Controller) settle(event Event) (*Slot, Refusal) {
+func (c *Controller) resolve(event Event) (*Slot, Refusal) {
 	if event.Cause != CauseNone {
 		return nil, Refusal{Cause: event.Cause, RetryAfter: event.RetryAfter}
 	}
 	return c.slot(event.Ticket), Refusal{}
 }
 
-// abandon takes a request out of the queue. A slot that was granted in the same
-// moment is given back.
+// abandon removes a request from the queue. A slot that was granted concurrently is
+// released.
 func (c *Controller) abandon(ticket Ticket, grant <-chan Event, cause Cause) (*Slot, Refusal) {
 	c.mu.Lock()
 	waiting := c.queue.Cancel(ticket)
 	delete(c.pending, ticket)
 	c.mu.Unlock()
 	if !waiting {
-		if slot, _ := c.settle(<-grant); slot != nil {
+		if slot, _ := c.resolve(<-grant); slot != nil {
 			slot.Release()
 		}
 	}
@@ -101,37 +102,37 @@
 
 func (c *Controller) slot(ticket Ticket) *Slot { return &Slot{controller: c, ticket: ticket} }
 
-// Release gives back the slot, or the connection of a session. Later calls do
-// nothing.
+// Release returns the slot, or the connection of a session. Calls after the first have
+// no effect.
 func (s *Slot) Release() {
 	s.once.Do(func() {
 		c := s.controller
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.deliver(c.queue.Release(s.ticket, time.Now()))
+		c.deliverEvents(c.queue.Release(s.ticket, time.Now()))
 	})
 }
 
-// BecomeSession gives the slot back and keeps the connection until Release. It
-// must not be called after Release.
+// BecomeSession returns the slot and keeps the connection until Release. It must not be
+// called after Release.
 func (s *Slot) BecomeSession() {
 	c := s.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deliver(c.queue.BecomeSession(s.ticket, time.Now()))
+	c.deliverEvents(c.queue.BecomeSession(s.ticket, time.Now()))
 }
 
-// SetLimits changes the bounds; what runs is left to finish.
+// SetLimits changes the limits. Running requests are not interrupted.
 func (c *Controller) SetLimits(limits Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.queue.limits == limits {
 		return
 	}
-	c.deliver(c.queue.SetLimits(limits, time.Now()))
+	c.deliverEvents(c.queue.SetLimits(limits, time.Now()))
 }
 
-// Usage returns what is in use.
+// Usage returns the numbers of running requests, sessions and waiting requests.
 func (c *Controller) Usage() Usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/admission/controller_test.go
+++ b/internal/proxy/admission/controller_test.go
@@ -15,16 +15,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestWaitingEnds(t *testing.T) {
+func TestAcquireStopsWaiting(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		act    func(slot *admission.Slot, cancel context.CancelFunc)
 		cause  admission.Cause
 		passed time.Duration
 	}{
-		{"with a slot", func(slot *admission.Slot, _ context.CancelFunc) { slot.Release() }, admission.CauseNone, 0},
-		{"when the caller goes", func(_ *admission.Slot, cancel context.CancelFunc) { cancel() }, admission.CauseCancelled, 0},
-		{"when the time is over", func(*admission.Slot, context.CancelFunc) {}, admission.CauseExpired, time.Minute},
+		{"slot released", func(slot *admission.Slot, _ context.CancelFunc) { slot.Release() }, admission.CauseNone, 0},
+		{"caller disconnects", func(_ *admission.Slot, cancel context.CancelFunc) { cancel() }, admission.CauseCancelled, 0},
+		{"deadline exceeded", func(*admission.Slot, context.CancelFunc) {}, admission.CauseExpired, time.Minute},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -58,13 +58,13 @@
 	}
 }
 
-// TestConcurrentRequestsStayWithinTheSlots lets callers come, wait, leave and
-// become sessions at once.
-func TestConcurrentRequestsStayWithinTheSlots(t *testing.T) {
+// Callers concurrently acquire slots, cancel and become sessions. At no time do more
+// requests run than there are slots.
+func TestConcurrentRequestsStayWithinSlots(t *testing.T) {
 	c := qt.New(t)
 	const slots, callers = 3, 200
 	controller := admission.NewController(admission.Limits{Slots: slots, Connections: 6, MaxQueued: callers})
-	running := make(chan struct{}, slots) // a full channel is a passed limit
+	running := make(chan struct{}, slots) // sending to the full channel means that the limit was exceeded
 	var group sync.WaitGroup
 	for number := range callers {
 		group.Go(func() {
--- a/internal/proxy/admission/estimate.go
+++ b/internal/proxy/admission/estimate.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// estimate is a moving average of how long a request holds its slot.
-type estimate struct{ mean float64 } // nanoseconds; zero: no sample yet
+// movingAverage is an exponential moving average of how long a request holds its slot.
+type movingAverage struct{ mean float64 } // in nanoseconds; zero: no sample yet
 
-// estimateGain is the weight of a new sample.
-const estimateGain = 0.1
+// averageGain is the weight of a new sample.
+const averageGain = 0.1
 
-func (e *estimate) add(sample time.Duration) {
+func (e *movingAverage) add(sample time.Duration) {
 	if e.mean == 0 {
 		e.mean = float64(sample)
 		return
 	}
-	e.mean += estimateGain * (float64(sample) - e.mean)
+	e.mean += averageGain * (float64(sample) - e.mean)
 }
 
-// expectedWait is how long a request of the route that arrives now would wait for
-// a slot: the slots that must come free first, over the rate at which they do.
+// expectedWait estimates how long a request of the route that arrives now would wait
+// for a slot: the number of slots that must be released first, divided by the rate at
+// which slots are released.
 func (q *Queue) expectedWait(r *route) time.Duration {
 	slots := max(min(q.limits.Slots, q.limits.Connections-q.sessions), 1)
-	wait := q.hold.mean * float64(q.ahead(r)+1) / float64(slots)
+	wait := q.holdTime.mean * float64(q.requestsAhead(r)+1) / float64(slots)
 	if r.limits.MaxInFlight > 0 {
-		own := q.hold.mean * float64(len(r.waiting)+1) / float64(r.limits.MaxInFlight)
+		own := q.holdTime.mean * float64(len(r.waiting)+1) / float64(r.limits.MaxInFlight)
 		wait = max(wait, own)
 	}
 	return time.Duration(wait)
 }
 
-// ahead counts the requests that get a slot before a new one of the route: its own
-// and, of each other route, as many as its weight gives it meanwhile.
-func (q *Queue) ahead(r *route) int {
+// requestsAhead estimates how many waiting requests get a slot before a new one of the
+// route: all of its own and, of each other route, as many as that route's weight allows
+// in the meantime.
+func (q *Queue) requestsAhead(r *route) int {
 	own := len(r.waiting)
 	total := own
-	for _, other := range q.ring.routes {
+	for _, other := range q.roundRobin.routes {
 		if other == r {
 			continue
 		}
--- a/internal/proxy/admission/queue_test.go
+++ b/internal/proxy/admission/queue_test.go
@@ -31,19 +31,19 @@
 		cause   admission.Cause
 	}{
 		{"free slot", limits, nil, request("a", time.Second, plain), true, admission.CauseNone},
-		{"busy slot waits", limits, []admission.Request{request("a", time.Second, plain)},
+		{"no free slot, waits", limits, []admission.Request{request("a", time.Second, plain)},
 			request("a", time.Second, plain), false, admission.CauseNone},
-		{"full queue refuses", limits,
+		{"queue full", limits,
 			[]admission.Request{request("a", time.Second, plain), request("a", time.Second, plain)},
 			request("a", time.Second, plain), false, admission.CauseQueueFull},
-		{"no queue refuses", admission.Limits{Slots: 1, Connections: 2},
+		{"no queue", admission.Limits{Slots: 1, Connections: 2},
 			[]admission.Request{request("a", time.Second, plain)},
 			request("a", time.Second, plain), false, admission.CauseQueueFull},
-		{"time over", limits, nil, request("a", 0, plain), false, admission.CauseExpired},
-		{"route at its queue limit", admission.Limits{Slots: 1, Connections: 2, MaxQueued: 9},
+		{"deadline exceeded", limits, nil, request("a", 0, plain), false, admission.CauseExpired},
+		{"route at its limit of waiting requests", admission.Limits{Slots: 1, Connections: 2, MaxQueued: 9},
 			[]admission.Request{request("a", time.Second, plain), request("a", time.Second, plain)},
 			request("a", time.Second, admission.RouteLimits{MaxQueued: 1}), false, admission.CauseRouteLimit},
-		{"route at its running limit, no queue", admission.Limits{Slots: 2, Connections: 4},
+		{"route at its limit of running requests, no queue", admission.Limits{Slots: 2, Connections: 4},
 			[]admission.Request{request("a", time.Second, plain)},
 			request("a", time.Second, admission.RouteLimits{MaxInFlight: 1}), false, admission.CauseRouteLimit},
 		{"no connection for a session", admission.Limits{Slots: 1, Connections: 1}, nil,
@@ -55,15 +55,15 @@
 			for _, earlier := range test.before {
 				q.Arrive(earlier, start)
 			}
-			verdict, events := q.Arrive(test.arrival, start)
-			c.Check(verdict.Granted, qt.Equals, test.granted)
-			c.Check(verdict.Cause, qt.Equals, test.cause)
+			decision, events := q.Arrive(test.arrival, start)
+			c.Check(decision.Granted, qt.Equals, test.granted)
+			c.Check(decision.Cause, qt.Equals, test.cause)
 			c.Check(events, qt.HasLen, 0)
 		})
 	}
 }
 
-func TestWaitLongerThanTheTimeLeftIsRefusedAtOnce(t *testing.T) {
+func TestExpectedWaitBeyondDeadlineIsRefused(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(admission.Limits{Slots: 1, Connections: 2, MaxQueued: 9})
 	first, _ := q.Arrive(request("a", time.Minute, admission.RouteLimits{}), start)
@@ -77,9 +77,9 @@
 	c.Check(waiting.Cause, qt.Equals, admission.CauseNone)
 }
 
-// TestReadsCannotStarveBookings floods the queue with status reads; the bookings
-// find room in it and get their share of the grants.
-func TestReadsCannotStarveBookings(t *testing.T) {
+// While one route fills the queue, requests of another route still get into the queue
+// and get their share of the slots.
+func TestFloodedRouteDoesNotStarveOthers(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(admission.Limits{Slots: 1, Connections: 2, MaxQueued: 8})
 	running, _ := q.Arrive(request("read", time.Hour, admission.RouteLimits{}), start)
@@ -88,11 +88,11 @@
 	}
 	bookings := map[admission.Ticket]bool{}
 	for range 4 {
-		verdict, events := q.Arrive(request("book", time.Hour, admission.RouteLimits{Weight: 2}), start)
-		c.Assert(verdict.Cause, qt.Equals, admission.CauseNone)
+		decision, events := q.Arrive(request("book", time.Hour, admission.RouteLimits{Weight: 2}), start)
+		c.Assert(decision.Cause, qt.Equals, admission.CauseNone)
 		c.Assert(events, qt.HasLen, 1)
 		c.Assert(events[0].Cause, qt.Equals, admission.CauseEvicted)
-		bookings[verdict.Ticket] = true
+		bookings[decision.Ticket] = true
 	}
 	granted := 0
 	holding := running.Ticket
@@ -107,7 +107,7 @@
 	c.Check(granted, qt.Equals, 4)
 }
 
-func TestSessionKeepsItsConnectionOnly(t *testing.T) {
+func TestSessionReleasesItsSlot(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(admission.Limits{Slots: 1, Connections: 2, MaxQueued: 9})
 	session, _ := q.Arrive(request("a", time.Hour, admission.RouteLimits{}), start)
@@ -120,7 +120,7 @@
 		qt.Commentf("no connection is left beyond the slots: the second keeps its slot"))
 }
 
-// model drives a queue and keeps its own books on every ticket.
+// model drives a queue and independently tracks the state of every ticket.
 type model struct {
 	queue   *admission.Queue
 	limits  admission.Limits
@@ -129,12 +129,12 @@
 	waiting map[admission.Ticket]time.Time // deadlines
 }
 
-// apply checks each event against the books.
+// apply checks each event against the model and updates the model.
 func (m *model) apply(t *rapid.T, events []admission.Event) {
 	for _, event := range events {
 		deadline, waiting := m.waiting[event.Ticket]
 		if !waiting {
-			t.Fatalf("event for ticket %d, which does not wait", event.Ticket)
+			t.Fatalf("event for ticket %d, which is not waiting", event.Ticket)
 		}
 		delete(m.waiting, event.Ticket)
 		if event.Cause != admission.CauseNone {
@@ -152,15 +152,15 @@
 
 func anyTicket[V any](t *rapid.T, tickets map[admission.Ticket]V) admission.Ticket {
 	if len(tickets) == 0 {
-		t.Skip("none")
+		t.Skip("no ticket to choose from")
 	}
 	return rapid.SampledFrom(slices.Sorted(maps.Keys(tickets))).Draw(t, "ticket")
 }
 
-// TestNothingLeaks runs arbitrary orders of events: no limit is passed, each
-// request is settled once, no free slot leaves a request waiting, and at the end
-// everything is given back.
-func TestNothingLeaks(t *testing.T) {
+// For arbitrary orders of events: no limit is exceeded, each waiting request gets exactly
+// one event, no request waits while a slot is free, and at the end all slots and
+// connections are returned.
+func TestArbitraryEventOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, low, high int) int { return rapid.IntRange(low, high).Draw(t, name) }
 		m := &model{now: start, holding: map[admission.Ticket]bool{}, waiting: map[admission.Ticket]time.Time{}}
@@ -176,14 +176,14 @@
 					Session: rapid.Bool().Draw(t, "session"),
 					Limits:  admission.RouteLimits{Weight: draw("weight", 0, 3), MaxQueued: draw("route queue", 0, 3)},
 				}
-				verdict, events := m.queue.Arrive(arrival, m.now)
+				decision, events := m.queue.Arrive(arrival, m.now)
 				m.apply(t, events)
 				switch {
-				case verdict.Granted:
-					m.waiting[verdict.Ticket] = arrival.Deadline
-					m.apply(t, []admission.Event{{Ticket: verdict.Ticket}})
-				case verdict.Cause == admission.CauseNone:
-					m.waiting[verdict.Ticket] = arrival.Deadline
+				case decision.Granted:
+					m.waiting[decision.Ticket] = arrival.Deadline
+					m.apply(t, []admission.Event{{Ticket: decision.Ticket}})
+				case decision.Cause == admission.CauseNone:
+					m.waiting[decision.Ticket] = arrival.Deadline
 				}
 			},
 			"release": func(t *rapid.T) {
@@ -195,7 +195,7 @@
 			"cancel": func(t *rapid.T) {
 				ticket := anyTicket(t, m.waiting)
 				if !m.queue.Cancel(ticket) {
-					t.Fatalf("ticket %d waits and cannot be cancelled", ticket)
+					t.Fatalf("ticket %d is waiting but could not be cancelled", ticket)
 				}
 				delete(m.waiting, ticket)
 			},
@@ -210,11 +210,11 @@
 			"": func(t *rapid.T) {
 				usage := m.queue.Usage()
 				if usage.InFlight+usage.Sessions != len(m.holding) || usage.Queued != len(m.waiting) {
-					t.Fatalf("counts differ: %+v, holding %d, waiting %d", usage, len(m.holding), len(m.waiting))
+					t.Fatalf("usage %+v differs from the model: %d holding, %d waiting", usage, len(m.holding), len(m.waiting))
 				}
 				free := usage.InFlight < m.limits.Slots && usage.InFlight+usage.Sessions < m.limits.Connections
 				if free && usage.Queued > 0 {
-					t.Fatalf("a slot is free while %d wait", usage.Queued)
+					t.Fatalf("a slot is free while %d requests wait", usage.Queued)
 				}
 			},
 		})
@@ -226,7 +226,7 @@
 		}
 		usage := m.queue.Usage()
 		if usage.InFlight+usage.Sessions+usage.Queued != 0 {
-			t.Fatalf("left over: %+v", usage)
+			t.Fatalf("usage after all requests ended: %+v", usage)
 		}
 	})
 }
--- a/internal/proxy/admission/request.go
+++ b/internal/proxy/admission/request.go
@@ -1,51 +1,52 @@
-// Package admission decides which requests run on a back end: at most so many at
-// once (slots), at most so many connections, a short queue that knows deadlines,
-// and fairness between routes. Queue is the pure decision; Controller hands its
-// grants to goroutines.
+// Package admission decides which requests run on a backend. It limits concurrent
+// requests (slots) and connections, has a short queue that respects deadlines, and is
+// fair between routes. Queue makes the decisions without side effects; Controller makes
+// it usable by goroutines.
 package admission
 
 import (
 	"time"
 )
 
-// Limits bounds one back end.
+// Limits are the limits of one backend.
 type Limits struct {
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of requests that run at once.
 	Slots int
-	// Connections is how many connections are used at once: running requests
-	// and sessions.
+	// Connections is the maximum number of connections in use, counting running
+	// requests and sessions.
 	Connections int
-	// MaxQueued is how many requests wait for a slot; zero refuses at once.
+	// MaxQueued is the maximum number of requests that wait for a slot; zero means
+	// that requests are refused if no slot is free.
 	MaxQueued int
 }
 
-// RouteLimits bounds one route on the back end.
+// RouteLimits are the limits of one route on the backend.
 type RouteLimits struct {
-	// MaxInFlight is how many requests of the route run at once; zero: Slots.
+	// MaxInFlight is the maximum number of requests of the route that run at once;
+	// zero: Slots.
 	MaxInFlight int
-	// MaxQueued is how many requests of the route wait; zero: Limits.MaxQueued.
+	// MaxQueued is the maximum number of requests of the route that wait; zero:
+	// Limits.MaxQueued.
 	MaxQueued int
-	// Weight is the route's share of the grants while routes compete; values
-	// below 1 count as 1.
+	// Weight determines the route's share of the slots while several routes have
+	// requests waiting; values below 1 count as 1.
 	Weight int
 }
 
 // Request is one request that asks for a slot.
 type Request struct {
-	Route  string
-	Limits RouteLimits
-	// Deadline is when the request's time is over.
+	Route    string
+	Limits   RouteLimits
 	Deadline time.Time
-	// Session tells that the answer will be a session (it gives the slot back
-	// and keeps the connection).
+	// Session is set if the request will become a session, which returns the slot
+	// and keeps the connection.
 	Session bool
 }
 
-// Ticket names one request in the queue; it is never used again.
+// Ticket identifies one request; it is never reused.
 type Ticket uint64
 
-// Cause is why a request got no slot. The zero Cause means that it got one or
-// still waits.
+// Cause is why a request got no slot. CauseNone means that it got one or still waits.
 type Cause uint8
 
 // The causes of a refusal. None of these requests ran.
@@ -53,36 +54,37 @@
 	CauseNone       Cause = iota
 	CauseQueueFull        // too many requests wait
 	CauseWait             // the expected wait leaves too little time to run
-	CauseExpired          // the time was over before a slot was free
-	CauseRouteLimit       // the route's own limits are reached
+	CauseExpired          // the deadline passed before a slot was free
+	CauseRouteLimit       // a limit of the route is reached
 	CauseSessions         // no connection is left for sessions
-	CauseEvicted          // made room for a route that has fewer waiting
-	CauseCancelled        // the caller went away
+	CauseEvicted          // removed for a route with fewer waiting requests relative to its weight
+	CauseCancelled        // the caller disconnected
 )
 
-// Verdict is the answer to an arrival. The request runs when Granted is set,
-// waits when Cause is CauseNone, and is refused otherwise.
-type Verdict struct {
+// Decision is the result of an arrival. If Granted is set, the request runs; otherwise it
+// waits if Cause is CauseNone and is refused if not.
+type Decision struct {
 	Ticket  Ticket
 	Granted bool
 	Cause   Cause
-	// RetryAfter is when a refused request may find a slot.
+	// RetryAfter is the time until a refused request may get a slot.
 	RetryAfter time.Duration
 }
 
-// Event tells what became of a waiting request: granted when Cause is CauseNone.
+// Event is the result for a waiting request: a slot if Cause is CauseNone, a refusal
+// otherwise.
 type Event struct {
 	Ticket     Ticket
 	Cause      Cause
 	RetryAfter time.Duration
 }
 
-// Usage is what is in use.
+// Usage contains the numbers of requests and sessions on a backend.
 type Usage struct {
 	InFlight int // requests that hold a slot
 	Sessions int // sessions that hold a connection and no slot
 	Queued   int // requests that wait
-	Slots    int // slots in force
+	Slots    int // current limit of slots
 }
 
 // String returns the cause for metrics.
