--- a/internal/proxy/outcome/problem_test.go
+++ b/internal/proxy/outcome/problem_test.go
@@ -11,8 +11,8 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// A caller sees the same outcome in the headers and in the document, and the
-// next node reads back what was written.
+// The headers and the document contain the same outcome, and FromResponse returns the
+// problem that was written.
 func TestWriteAndRead(t *testing.T) {
 	for _, test := range []struct {
 		reason     outcome.Reason
@@ -26,7 +26,7 @@
 		{outcome.ReasonBroken, http.StatusBadGateway, 0},
 		{outcome.ReasonRepeatConflict, http.StatusUnprocessableEntity, 0},
 		{outcome.ReasonWrongInstance, http.StatusMisdirectedRequest, time.Second},
-		{"never-heard-of", http.StatusInternalServerError, 0},
+		{"unlisted", http.StatusInternalServerError, 0},
 	} {
 		t.Run(string(test.reason), func(t *testing.T) {
 			c := qt.New(t)
@@ -54,14 +54,14 @@
 	}
 }
 
-func TestEachReasonHasAnOwnStatus(t *testing.T) {
+func TestEachReasonHasAStatus(t *testing.T) {
 	c := qt.New(t)
 	for _, reason := range outcome.Reasons() {
 		c.Check(outcome.New(reason, outcome.Unknown, "").Status, qt.Not(qt.Equals), http.StatusInternalServerError)
 	}
 }
 
-func TestAnswersOfBackEndsAreNotProblems(t *testing.T) {
+func TestBackendResponsesAreNotProblems(t *testing.T) {
 	c := qt.New(t)
 	for _, value := range []string{"", "ran", "NOT-RUN"} {
 		_, ok := outcome.FromResponse(&http.Response{Header: http.Header{outcome.HeaderOutcome: {value}}})
--- a/internal/proxy/outcome/request.go
+++ b/internal/proxy/outcome/request.go
@@ -7,13 +7,13 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// TargetOf returns the value of HeaderTarget for one process.
+// TargetOf returns the value of HeaderTarget for a process.
 func TargetOf(node membership.NodeID, incarnation membership.Incarnation) string {
 	return string(node) + "/" + strconv.FormatUint(uint64(incarnation), 10)
 }
 
-// Remaining returns the time left until a deadline as in HeaderRemaining and
-// HeaderTimeout: whole milliseconds, rounded down, never below 0.
+// Remaining returns the time until a deadline as the value of HeaderRemaining and
+// HeaderTimeout: whole milliseconds, rounded down, at least 0.
 func Remaining(deadline time.Time) string {
 	return strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 0), 10)
 }
