--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -56,7 +56,7 @@
 		return attemptResult{problem: problem}
 	}
 	e.readHints(sent.response.Header, choice, now)
-	problem, fromProxy := outcome.FromResponse(sent.response)
+	problem, fromProxy := outcome.ProblemFromResponse(sent.response)
 	if !fromProxy {
 		return attemptResult{response: sent.response}
 	}
--- a/internal/proxy/outbound/fault_test.go
+++ b/internal/proxy/outbound/fault_test.go
@@ -19,7 +19,7 @@
 
 func (r *harness) checkProblem(response *http.Response, status int, want outcome.Outcome, reason outcome.Reason) {
 	r.t.Helper()
-	problem, ok := outcome.FromResponse(response)
+	problem, ok := outcome.ProblemFromResponse(response)
 	r.Assert(ok, qt.IsTrue, qt.Commentf("status %d", response.StatusCode))
 	r.Check(problem.Status, qt.Equals, status)
 	r.Check(problem.Outcome, qt.Equals, want)
--- a/internal/proxy/outbound/outcome_test.go
+++ b/internal/proxy/outbound/outcome_test.go
@@ -61,7 +61,7 @@
 // checkOverallOutcome returns an error unless the outcome is "unknown" exactly if an
 // attempt may have run.
 func checkOverallOutcome(response *http.Response, made []attemptFailure) error {
-	problem, fromProxy := outcome.FromResponse(response)
+	problem, fromProxy := outcome.ProblemFromResponse(response)
 	if !fromProxy {
 		return fmt.Errorf("the response with status %d was not made by a proxy", response.StatusCode)
 	}
--- a/internal/proxy/outcome/problem_test.go
+++ b/internal/proxy/outcome/problem_test.go
@@ -11,8 +11,8 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// The headers and the document contain the same outcome, and FromResponse returns the
-// problem that was written.
+// The headers and the document contain the same outcome, and ProblemFromResponse
+// returns the problem that was written.
 func TestWriteAndRead(t *testing.T) {
 	for _, test := range []struct {
 		reason     outcome.Reason
@@ -44,7 +44,7 @@
 			c.Check(document["reason"], qt.Equals, string(test.reason))
 			c.Check(document["detail"], qt.Equals, "detail")
 
-			read, ok := outcome.FromResponse(response)
+			read, ok := outcome.ProblemFromResponse(response)
 			c.Assert(ok, qt.IsTrue)
 			want := problem
 			want.Detail = ""
@@ -64,7 +64,7 @@
 func TestBackendResponsesAreNotProblems(t *testing.T) {
 	c := qt.New(t)
 	for _, value := range []string{"", "ran", "NOT-RUN"} {
-		_, ok := outcome.FromResponse(&http.Response{Header: http.Header{outcome.HeaderOutcome: {value}}})
+		_, ok := outcome.ProblemFromResponse(&http.Response{Header: http.Header{outcome.HeaderOutcome: {value}}})
 		c.Check(ok, qt.IsFalse)
 	}
 }
