--- a/cmd/winchhead-bench/main.go
+++ b/cmd/winchhead-bench/main.go
@@ -1,6 +1,6 @@
-// Command winchhead-bench rehearses winchhead: stand-ins for the platform and for
-// back ends, a load generator, whole example deployments under faults, and
-// experiments at the size of large fleets.
+// Command winchhead-bench tests and measures winchhead. It contains emulators of the
+// platform and of back ends, a load generator, runs of whole example deployments with
+// injected faults, and experiments with the number of nodes of large fleets.
 package main
 
 import (
--- a/cmd/winchhead/main.go
+++ b/cmd/winchhead/main.go
@@ -1,5 +1,5 @@
-// Command winchhead runs a node that distributes configuration to the proxies of
-// a service mesh, and the commands of its operators.
+// Command winchhead runs a node, which distributes configuration to the proxies of a
+// service mesh and proxies requests, and provides the operators' commands.
 package main
 
 import (
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -10,12 +10,12 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// check returns the first fault in the settings, by the order of the struct,
-// without its place.
+// check returns the first error in the settings, in the order of the struct,
+// without its location.
 func check(settings *Settings) *Error {
-	var faults validator.ValidationErrors
-	if err := newValidator().Struct(settings); errors.As(err, &faults) {
-		return describe(faults[0])
+	var failures validator.ValidationErrors
+	if err := newValidator().Struct(settings); errors.As(err, &failures) {
+		return describe(failures[0])
 	}
 	return checkAdvertised(settings)
 }
@@ -33,14 +33,14 @@
 	return validate
 }
 
-func describe(fault validator.FieldError) *Error {
-	_, key, _ := strings.Cut(fault.Namespace(), ".")
-	return &Error{Key: key, Problem: describeRule(fault, key)}
+func describe(failure validator.FieldError) *Error {
+	_, key, _ := strings.Cut(failure.Namespace(), ".")
+	return &Error{Key: key, Problem: describeRule(failure, key)}
 }
 
-func describeRule(fault validator.FieldError, key string) string {
-	value := fmt.Sprint(fault.Value())
-	switch fault.Tag() {
+func describeRule(failure validator.FieldError, key string) string {
+	value := fmt.Sprint(failure.Value())
+	switch failure.Tag() {
 	case "required":
 		return "missing: set it in the settings file or with --" + key
 	case "required_with":
@@ -48,44 +48,45 @@
 		if section == "inbound" {
 			return "missing: a node with inbound.service needs it"
 		}
-		return "missing: the keys of tls are set all together or not at all"
+		return "missing: set all keys of tls or none of them"
 	case "address":
-		return fmt.Sprintf("%q is no address: write IP:port, such as 127.0.0.1:7000", value)
+		return fmt.Sprintf("%q is not an address: write IP:port, such as 127.0.0.1:7000", value)
 	case "http_url":
-		return fmt.Sprintf("%q is no URL: write such as http://127.0.0.1:7000", value)
+		return fmt.Sprintf("%q is not a URL: write one such as http://127.0.0.1:7000", value)
 	case "oneof":
-		return fmt.Sprintf("%q is not known: write %s", value, strings.ReplaceAll(fault.Param(), " ", " or "))
+		return fmt.Sprintf("%q is not a known value: write %s", value, strings.ReplaceAll(failure.Param(), " ", " or "))
 	case "startswith":
-		return fmt.Sprintf("%q is no path: start it with %s", value, fault.Param())
+		return fmt.Sprintf("%q is not a path: start it with %s", value, failure.Param())
 	case "gt":
-		return value + " is too small: write more than " + fault.Param()
+		return value + " is too small: write more than " + failure.Param()
 	case "min":
-		return value + " is too small: write at least " + fault.Param()
+		return value + " is too small: write at least " + failure.Param()
 	case "max":
-		return value + " is too large: write at most " + fault.Param()
+		return value + " is too large: write at most " + failure.Param()
 	default:
-		return fmt.Sprintf("%q breaks the rule %s %s", value, fault.Tag(), fault.Param())
+		return fmt.Sprintf("%q violates the rule %s %s", value, failure.Tag(), failure.Param())
 	}
 }
 
-// checkAdvertised refuses addresses that other nodes could not connect to.
+// checkAdvertised rejects unspecified addresses, such as 0.0.0.0, to which other nodes
+// could not connect.
 func checkAdvertised(settings *Settings) *Error {
 	pairs := []struct{ key, listen, advertise string }{
 		{"peers.advertise", settings.Peers.Listen, settings.Peers.Advertise},
 		{"inbound.advertise", settings.Inbound.Listen, settings.Inbound.Advertise},
 	}
 	for _, pair := range pairs {
-		if pair.advertise == "" && listensEverywhere(pair.listen) {
-			return &Error{Key: pair.key, Problem: "missing: the node listens on all addresses, so say which one other nodes connect to"}
+		if pair.advertise == "" && isUnspecified(pair.listen) {
+			return &Error{Key: pair.key, Problem: "missing: the node listens on all addresses, so name the one that other nodes connect to"}
 		}
-		if pair.advertise != "" && listensEverywhere(pair.advertise) {
-			return &Error{Key: pair.key, Problem: fmt.Sprintf("%q is no address that other nodes can connect to", pair.advertise)}
+		if pair.advertise != "" && isUnspecified(pair.advertise) {
+			return &Error{Key: pair.key, Problem: fmt.Sprintf("%q is not an address that other nodes can connect to", pair.advertise)}
 		}
 	}
 	return nil
 }
 
-func listensEverywhere(address string) bool {
+func isUnspecified(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && parsed.Addr().IsUnspecified()
 }
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -12,8 +12,8 @@
 	mebibyte = 1 << 20
 )
 
-// Defaults returns the settings of a node whose file and flags say nothing. They
-// don't pass the check: the name, the place and the addresses have no default.
+// Defaults returns the settings of a node without a file or flags. They don't pass
+// the check, as the name, the region, the zone and the addresses have no default.
 func Defaults() Settings {
 	return Settings{
 		Platform: Platform{
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -44,7 +44,7 @@
 	return fields
 }
 
-// Text returns the field's value in settings, in the form that a file takes.
+// Text returns the field's value in settings, as it is written in a settings file.
 func (f Field) Text(settings *Settings) string {
 	value := f.value(settings)
 	if duration, ok := value.Interface().(time.Duration); ok && duration == 0 {
@@ -57,7 +57,7 @@
 	return reflect.ValueOf(settings).Elem().FieldByIndex(f.index)
 }
 
-// set parses text into the field. The error says what form was expected.
+// set parses text into the field. Its error names the expected format.
 func (f Field) set(settings *Settings, text string) error {
 	target := f.value(settings)
 	switch target.Interface().(type) {
@@ -66,25 +66,25 @@
 	case time.Duration:
 		duration, err := time.ParseDuration(text)
 		if err != nil {
-			return fmt.Errorf("%q is no duration: write a number with a unit, such as 500ms, 5s or 2m", text)
+			return fmt.Errorf("%q is not a duration: write a number with a unit, such as 500ms, 5s or 2m", text)
 		}
 		target.SetInt(int64(duration))
 	case int, int64:
 		number, err := strconv.ParseInt(text, 10, target.Type().Bits())
 		if err != nil {
-			return fmt.Errorf("%q is no whole number", text)
+			return fmt.Errorf("%q is not a whole number", text)
 		}
 		target.SetInt(number)
 	case bool:
-		on, err := strconv.ParseBool(text)
+		enabled, err := strconv.ParseBool(text)
 		if err != nil {
 			return fmt.Errorf("%q is neither true nor false", text)
 		}
-		target.SetBool(on)
+		target.SetBool(enabled)
 	case float64:
 		number, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return fmt.Errorf("%q is no number", text)
+			return fmt.Errorf("%q is not a number", text)
 		}
 		target.SetFloat(number)
 	default:
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// fieldIndex finds fields by key and keeps the order of the sections' keys.
+// fieldIndex finds fields by key and lists the sections and their keys in order.
 type fieldIndex struct {
 	byKey    map[string]Field
 	sections []string
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -18,8 +18,8 @@
 	fields   fieldIndex
 	settings *Settings
 	origins  map[string]Origin
-	// sectionLines keeps where each section starts, for messages about keys
-	// that it lacks.
+	// sectionLines holds the line at which each section starts, for errors about
+	// keys missing from it.
 	sectionLines map[string]int
 }
 
@@ -31,7 +31,7 @@
 	return r.eachEntry(root, "", r.readSection)
 }
 
-// parse returns the top mapping, or nil for an empty file.
+// parse returns the top-level mapping, or nil for an empty file.
 func (r *fileReader) parse(text []byte) (*yaml.Node, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	var document yaml.Node
@@ -44,14 +44,15 @@
 	}
 	var second yaml.Node
 	if err := decoder.Decode(&second); !errors.Is(err, io.EOF) {
-		return nil, r.fault(second.Line, "", "more than one YAML document: keep one")
+		return nil, r.errorAt(second.Line, "", "more than one YAML document: keep one")
 	}
 	return document.Content[0], nil
 }
 
 var yamlErrorLine = regexp.MustCompile(`line (\d+): (.*)`)
 
-// syntaxError moves the line out of the text of the YAML library's error.
+// syntaxError converts an error of the YAML library, moving the line number from
+// its text to Error.Line.
 func (r *fileReader) syntaxError(err error) error {
 	line := 0
 	problem := strings.TrimPrefix(err.Error(), "yaml: ")
@@ -59,13 +60,13 @@
 		line, _ = strconv.Atoi(match[1])
 		problem = match[2]
 	}
-	return r.fault(line, "", "no valid YAML near this line: "+problem)
+	return r.errorAt(line, "", "invalid YAML near this line: "+problem)
 }
 
 func (r *fileReader) readSection(name string, key, value *yaml.Node) error {
 	names, known := r.fields.names[name]
 	if !known {
-		return r.fault(key.Line, name, "unknown section; the sections are "+strings.Join(r.fields.sections, ", "))
+		return r.errorAt(key.Line, name, "unknown section; the sections are "+strings.Join(r.fields.sections, ", "))
 	}
 	r.sectionLines[name] = key.Line
 	if value.Tag == "!!null" {
@@ -74,7 +75,7 @@
 	return r.eachEntry(value, name, func(dotted string, key, value *yaml.Node) error {
 		field, known := r.fields.byKey[dotted]
 		if !known {
-			return r.fault(key.Line, dotted, fmt.Sprintf("unknown key; the keys of %s are %s", name, strings.Join(names, ", ")))
+			return r.errorAt(key.Line, dotted, fmt.Sprintf("unknown key; the keys of %s are %s", name, strings.Join(names, ", ")))
 		}
 		return r.readField(field, value)
 	})
@@ -82,23 +83,24 @@
 
 func (r *fileReader) readField(field Field, value *yaml.Node) error {
 	if value.Kind != yaml.ScalarNode {
-		return r.fault(value.Line, field.Key, "want one value, not a "+kindName(value.Kind))
+		return r.errorAt(value.Line, field.Key, "expected one value, not a "+kindName(value.Kind))
 	}
 	text := value.Value
 	if value.Tag == "!!null" {
 		text = ""
 	}
 	if err := field.set(r.settings, text); err != nil {
-		return r.fault(value.Line, field.Key, err.Error())
+		return r.errorAt(value.Line, field.Key, err.Error())
 	}
 	r.origins[field.Key] = Origin{File: r.name, Line: value.Line}
 	return nil
 }
 
-// eachEntry calls visit with the dotted key of each entry of a mapping.
+// eachEntry calls visit with the dotted key, the key and the value of each entry of
+// a mapping.
 func (r *fileReader) eachEntry(mapping *yaml.Node, section string, visit func(dotted string, key, value *yaml.Node) error) error {
 	if mapping.Kind != yaml.MappingNode {
-		return r.fault(mapping.Line, section, "want keys with values (key: value), not a "+kindName(mapping.Kind))
+		return r.errorAt(mapping.Line, section, "expected keys with values (key: value), not a "+kindName(mapping.Kind))
 	}
 	firstLines := map[string]int{}
 	for i := 0; i < len(mapping.Content); i += 2 {
@@ -107,8 +109,8 @@
 		if section != "" {
 			dotted = section + "." + key.Value
 		}
-		if first, twice := firstLines[dotted]; twice {
-			return r.fault(key.Line, dotted, fmt.Sprintf("stands twice, first in line %d: keep one", first))
+		if first, duplicate := firstLines[dotted]; duplicate {
+			return r.errorAt(key.Line, dotted, fmt.Sprintf("duplicate key, first set in line %d: keep one", first))
 		}
 		firstLines[dotted] = key.Line
 		if err := visit(dotted, key, value); err != nil {
@@ -118,7 +120,7 @@
 	return nil
 }
 
-func (r *fileReader) fault(line int, key, problem string) *Error {
+func (r *fileReader) errorAt(line int, key, problem string) *Error {
 	return &Error{File: r.name, Line: line, Key: key, Problem: problem}
 }
 
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,16 +6,15 @@
 	"slices"
 )
 
-// Overrides are values from flags, by dotted key.
+// Overrides are values set by flags, by dotted key.
 type Overrides map[string]string
 
-// Origin tells where an effective value came from. The zero Origin is the
-// default.
+// Origin is where an effective value comes from. The zero Origin means the default.
 type Origin struct {
 	// File and Line locate the value in a settings file.
 	File string
 	Line int
-	// Flag is set when a flag gave the value.
+	// Flag is set when the value comes from a flag.
 	Flag bool
 }
 
@@ -31,17 +30,17 @@
 	}
 }
 
-// Loaded are checked settings and where each value came from.
+// Loaded holds checked settings and the origin of each value.
 type Loaded struct {
 	Settings
 	origins map[string]Origin
 }
 
-// Origin returns where the value of a dotted key came from.
+// Origin returns where the value of a dotted key comes from.
 func (l *Loaded) Origin(key string) Origin { return l.origins[key] }
 
 // Load merges the defaults, the file at path (none when path is empty) and the
-// flags, and checks the result. A fault in what an operator wrote is an *Error.
+// flags, and checks the result. Errors in what the operator wrote are *Error.
 func Load(path string, flags Overrides) (*Loaded, error) {
 	loaded := &Loaded{Settings: Defaults(), origins: map[string]Origin{}}
 	reader := &fileReader{
@@ -63,9 +62,9 @@
 	if err := loaded.override(reader.fields, flags); err != nil {
 		return nil, err
 	}
-	if fault := check(&loaded.Settings); fault != nil {
-		reader.locate(fault)
-		return nil, fault
+	if invalid := check(&loaded.Settings); invalid != nil {
+		reader.locate(invalid)
+		return nil, invalid
 	}
 	return loaded, nil
 }
@@ -89,15 +88,15 @@
 	return nil
 }
 
-// locate fills in where the operator mends a fault that the check found.
-func (r *fileReader) locate(fault *Error) {
-	origin := r.origins[fault.Key]
+// locate sets the location at which the operator can fix an error found by check.
+func (r *fileReader) locate(invalid *Error) {
+	origin := r.origins[invalid.Key]
 	if origin.Flag {
 		return
 	}
-	fault.File, fault.Line = origin.File, origin.Line
+	invalid.File, invalid.Line = origin.File, origin.Line
 	if origin.File == "" {
-		fault.File = r.name
-		fault.Line = r.sectionLines[r.fields.byKey[fault.Key].Section]
+		invalid.File = r.name
+		invalid.Line = r.sectionLines[r.fields.byKey[invalid.Key].Section]
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// minimal is the least file that passes; tests change it by replacing text.
+// minimal is the smallest valid settings file; tests change it by replacing text.
 const minimal = `node:
   name: centro-edge
   region: montevideo
@@ -23,69 +23,69 @@
   max_links: 4
 `
 
-func write(c *qt.C, text string) string {
+func writeSettings(c *qt.C, text string) string {
 	path := filepath.Join(c.TempDir(), "node.yaml")
 	c.Assert(os.WriteFile(path, []byte(text), 0o600), qt.IsNil)
 	return path
 }
 
-func TestFaultsNameLineAndKey(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	rows := []struct {
 		name, old, new string
 		flags          settings.Overrides
-		want           string // FILE stands for the path
+		want           string // with FILE in place of the path
 	}{
 		{"unknown key", "max_links: 4", "max_linx: 4", nil,
 			`FILE:9: peers.max_linx: unknown key; the keys of peers are listen, advertise, readers_per_zone, max_links`},
 		{"unknown section", "peers:", "pears:", nil,
 			`FILE:7: pears: unknown section; the sections are node, platform, peers, outbound, inbound, retries, mechanisms, admin, tls, log`},
 		{"bad address", "127.0.0.1:7101", "centro:7101", nil,
-			`FILE:8: peers.listen: "centro:7101" is no address: write IP:port, such as 127.0.0.1:7000`},
+			`FILE:8: peers.listen: "centro:7101" is not an address: write IP:port, such as 127.0.0.1:7000`},
 		{"missing zone", "  zone: centro\n", "", nil,
 			`FILE:1: node.zone: missing: set it in the settings file or with --node.zone`},
 		{"missing section", "platform:\n  url: http://127.0.0.1:7000\n", "", nil,
 			`FILE: platform.url: missing: set it in the settings file or with --platform.url`},
 		{"wrong type", "max_links: 4", "max_links: four", nil,
-			`FILE:9: peers.max_links: "four" is no whole number`},
+			`FILE:9: peers.max_links: "four" is not a whole number`},
 		{"duration without unit", "max_links: 4", "max_links: 4\noutbound:\n  header_timeout: 5", nil,
-			`FILE:11: outbound.header_timeout: "5" is no duration: write a number with a unit, such as 500ms, 5s or 2m`},
+			`FILE:11: outbound.header_timeout: "5" is not a duration: write a number with a unit, such as 500ms, 5s or 2m`},
 		{"list for a value", "max_links: 4", "max_links: [4]", nil,
-			`FILE:9: peers.max_links: want one value, not a list`},
+			`FILE:9: peers.max_links: expected one value, not a list`},
 		{"value for a section", "platform:\n  url: http://127.0.0.1:7000", "platform: no", nil,
-			`FILE:5: platform: want keys with values (key: value), not a single value`},
+			`FILE:5: platform: expected keys with values (key: value), not a single value`},
 		{"duplicate key", "max_links: 4", "max_links: 4\n  listen: 127.0.0.1:7102", nil,
-			`FILE:10: peers.listen: stands twice, first in line 8: keep one`},
-		{"no YAML", "peers:", "peers: [", nil,
-			`FILE:6: no valid YAML near this line: did not find expected ',' or ']'`},
+			`FILE:10: peers.listen: duplicate key, first set in line 8: keep one`},
+		{"invalid YAML", "peers:", "peers: [", nil,
+			`FILE:6: invalid YAML near this line: did not find expected ',' or ']'`},
 		{"two documents", "peers:", "---\npeers:", nil,
 			`FILE:7: more than one YAML document: keep one`},
-		{"half of the keys", "max_links: 4", "max_links: 4\ntls:\n  key_file: key.pem", nil,
-			`FILE:10: tls.certificate_file: missing: the keys of tls are set all together or not at all`},
+		{"some TLS keys missing", "max_links: 4", "max_links: 4\ntls:\n  key_file: key.pem", nil,
+			`FILE:10: tls.certificate_file: missing: set all keys of tls or none of them`},
 		{"service without back end", "max_links: 4", "max_links: 4\ninbound:\n  service: reservas\n  listen: 127.0.0.1:1", nil,
 			`FILE:10: inbound.backend: missing: a node with inbound.service needs it`},
-		{"listens everywhere", "127.0.0.1:7101", "0.0.0.0:7101", nil,
-			`FILE:7: peers.advertise: missing: the node listens on all addresses, so say which one other nodes connect to`},
+		{"listens on all addresses", "127.0.0.1:7101", "0.0.0.0:7101", nil,
+			`FILE:7: peers.advertise: missing: the node listens on all addresses, so name the one that other nodes connect to`},
 		{"bad flag", "", "", settings.Overrides{"peers.max_links": "1"},
 			`flag --peers.max_links: 1 is too small: write at least 2`},
 		{"unknown flag", "", "", settings.Overrides{"peers.x": "1"}, `flag --peers.x: unknown key`},
-		{"choice", "max_links: 4", "max_links: 4\nlog:\n  level: loud", nil,
-			`FILE:11: log.level: "loud" is not known: write error or warning or info or debug`},
+		{"unknown choice", "max_links: 4", "max_links: 4\nlog:\n  level: loud", nil,
+			`FILE:11: log.level: "loud" is not a known value: write error or warning or info or debug`},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			c := qt.New(t)
-			path := write(c, strings.Replace(minimal, row.old, row.new, 1))
+			path := writeSettings(c, strings.Replace(minimal, row.old, row.new, 1))
 			_, err := settings.Load(path, row.flags)
-			var fault *settings.Error
-			c.Assert(err, qt.ErrorAs, &fault)
+			var invalid *settings.Error
+			c.Assert(err, qt.ErrorAs, &invalid)
 			c.Assert(strings.ReplaceAll(err.Error(), path, "FILE"), qt.Equals, row.want)
 		})
 	}
 }
 
-func TestLaterSourceWinsAndOriginIsKept(t *testing.T) {
+func TestPrecedenceAndOrigins(t *testing.T) {
 	c := qt.New(t)
-	path := write(c, minimal)
+	path := writeSettings(c, minimal)
 	loaded, err := settings.Load(path, settings.Overrides{"node.zone": "cerro", "inbound.drain_grace": "1m"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(loaded.Node.Zone, qt.Equals, "cerro")
@@ -100,11 +100,11 @@
 	})
 }
 
-// TestEveryKeyCanBeSetByFlag sets each key to its own effective value: a key
-// without parser, help or flag fails.
+// TestEveryKeyCanBeSetByFlag sets each key to its own effective value and fails for
+// a key without a parser, a help text or a flag.
 func TestEveryKeyCanBeSetByFlag(t *testing.T) {
 	c := qt.New(t)
-	path := write(c, minimal)
+	path := writeSettings(c, minimal)
 	loaded, err := settings.Load(path, nil)
 	c.Assert(err, qt.IsNil)
 	for _, field := range settings.Fields() {
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestExamplesAreRight loads the settings of the example deployments and checks
-// that no two nodes of one take the same name or port.
-func TestExamplesAreRight(t *testing.T) {
+// TestExampleSettingsAreValid loads the settings of the example deployments and checks
+// that no two nodes of a deployment use the same name or address.
+func TestExampleSettingsAreValid(t *testing.T) {
 	c := qt.New(t)
 	for deployment, nodes := range map[string]int{"montevideo": 16, "kerlann": 13} {
 		files, err := filepath.Glob(filepath.Join("..", "..", "examples", deployment, "settings", "*.yaml"))
@@ -131,7 +131,7 @@
 			c.Assert(err, qt.IsNil)
 			for _, claimed := range []string{loaded.Node.Name, loaded.Peers.Listen, loaded.Outbound.Listen,
 				loaded.Inbound.Listen, loaded.Inbound.Backend, loaded.Admin.Listen} {
-				c.Assert(users[claimed] == "" || claimed == "", qt.IsTrue, qt.Commentf("%s: %s is taken by %s", file, claimed, users[claimed]))
+				c.Assert(users[claimed] == "" || claimed == "", qt.IsTrue, qt.Commentf("%s: %s is used by %s", file, claimed, users[claimed]))
 				users[claimed] = file
 			}
 			c.Assert(loaded.Node.Name+".yaml", qt.Equals, filepath.Base(file))
@@ -139,7 +139,8 @@
 	}
 }
 
-// TestOperationsPageListsEverySetting keeps the page and the code together.
+// TestOperationsPageListsEverySetting checks that docs/OPERATIONS.md lists each
+// setting with its default and help text.
 func TestOperationsPageListsEverySetting(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
