--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -22,7 +22,7 @@
 
 const secretValue = "s3cr3t-value-of-the-token"
 
-// fakeNode stands for the parts of a node that the operators' HTTP shows.
+// fakeNode fakes the parts of a node that the admin API shows.
 type fakeNode struct {
 	current *snapshot.Snapshot
 	status  wire.StatusReply
@@ -37,7 +37,8 @@
 	return []distribution.MemberStatus{{Node: n.status.Node, Reply: &n.status}, {Node: "b", Error: "refused"}}
 }
 
-// newFakeNode holds one route to a service of one ready instance, with a secret.
+// newFakeNode returns a node that holds one route, with a secret, to a service with one
+// ready instance.
 func newFakeNode(c *qt.C) *fakeNode {
 	version := snapshot.Version{Revision: 7, Hash: snapshot.ContentHash{1}}
 	route := snapshot.Route{
@@ -61,7 +62,7 @@
 	}
 }
 
-func serve(c *qt.C, node *fakeNode) (*httptest.Server, *admin.Client) {
+func startServer(c *qt.C, node *fakeNode) (*httptest.Server, *admin.Client) {
 	server := httptest.NewServer(admin.New(admin.Options{Zone: "centro", Snapshots: node, Fleet: node, Status: node,
 		Gatherer: prometheus.NewRegistry(), Logger: logging.Discard()}))
 	c.Cleanup(server.Close)
@@ -70,7 +71,7 @@
 
 func TestSecretValuesNeverAppear(t *testing.T) {
 	c := qt.New(t)
-	server, _ := serve(c, newFakeNode(c))
+	server, _ := startServer(c, newFakeNode(c))
 	for _, path := range []string{"/healthz", "/readyz", "/metrics", "/v1/status", "/v1/fleet", "/v1/configuration",
 		"/v1/members", "/v1/explain?method=GET&path=/trips/7", "/v1/explain?method=GET&path=/none"} {
 		response, err := http.Get(server.URL + path)
@@ -83,9 +84,9 @@
 	}
 }
 
-func TestClientReadsWhatTheServerShows(t *testing.T) {
+func TestClientDecodesResponses(t *testing.T) {
 	c := qt.New(t)
-	_, client := serve(c, newFakeNode(c))
+	_, client := startServer(c, newFakeNode(c))
 
 	configuration, err := client.Configuration(c.Context())
 	c.Assert(err, qt.IsNil)
@@ -93,7 +94,7 @@
 	c.Assert(configuration.Routes[0].Timeout.String(), qt.Equals, "1.5s")
 	c.Assert(configuration.Secrets, qt.DeepEquals, []string{"trips-token"})
 
-	explanation, err := client.Explain(c.Context(), admin.Question{Method: http.MethodGet, Path: "/trips/7"})
+	explanation, err := client.Explain(c.Context(), admin.ExplainRequest{Method: http.MethodGet, Path: "/trips/7"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(explanation.Route.Name, qt.Equals, "trips/read")
 	c.Assert(explanation.MayRepeat, qt.IsTrue)
@@ -101,10 +102,10 @@
 	c.Assert(explanation.Targets[0].Instances, qt.DeepEquals, []admin.TargetInstance{
 		{Node: "a", Zone: "centro", SameZone: true, DataAddress: "127.0.0.1:2", Slots: 20}})
 
-	explanation, err = client.Explain(c.Context(), admin.Question{Method: http.MethodGet, Path: "/other"})
+	explanation, err = client.Explain(c.Context(), admin.ExplainRequest{Method: http.MethodGet, Path: "/other"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(explanation.Route, qt.IsNil)
-	c.Assert(explanation.Considered, qt.DeepEquals, []admin.Consideration{{Route: "trips/read", Verdict: snapshot.VerdictPath}})
+	c.Assert(explanation.Considered, qt.DeepEquals, []admin.RouteVerdict{{Route: "trips/read", Verdict: snapshot.VerdictPath}})
 
 	fleet, err := client.Fleet(c.Context())
 	c.Assert(err, qt.IsNil)
@@ -132,7 +133,7 @@
 			c := qt.New(t)
 			node := newFakeNode(c)
 			row.edit(node)
-			server, _ := serve(c, node)
+			server, _ := startServer(c, node)
 			response, err := http.Get(server.URL + "/readyz")
 			c.Assert(err, qt.IsNil)
 			c.Assert(response.Body.Close(), qt.IsNil)
@@ -141,16 +142,16 @@
 	}
 }
 
-func TestErrorsTellUnreachableFromRefused(t *testing.T) {
+func TestClientErrors(t *testing.T) {
 	c := qt.New(t)
 	node := newFakeNode(c)
 	node.current = nil
-	server, client := serve(c, node)
-	var refused *admin.AnswerError
-	_, err := client.Explain(c.Context(), admin.Question{Method: http.MethodGet, Path: "/trips"})
+	server, client := startServer(c, node)
+	var refused *admin.ResponseError
+	_, err := client.Explain(c.Context(), admin.ExplainRequest{Method: http.MethodGet, Path: "/trips"})
 	c.Assert(err, qt.ErrorAs, &refused)
 	c.Assert(refused.Problem, qt.Equals, "the node holds no configuration version yet")
-	_, err = client.Explain(c.Context(), admin.Question{Method: http.MethodGet, Path: "trips"})
+	_, err = client.Explain(c.Context(), admin.ExplainRequest{Method: http.MethodGet, Path: "trips"})
 	c.Assert(err, qt.ErrorAs, &refused)
 	c.Assert(refused.Code, qt.Equals, http.StatusBadRequest)
 	server.Close()
--- a/internal/admin/configuration.go
+++ b/internal/admin/configuration.go
@@ -9,7 +9,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// newConfiguration shows what is in force; current may be nil.
+// newConfiguration describes the configuration in force; current may be nil.
 func newConfiguration(current *snapshot.Snapshot) Configuration {
 	configuration := Configuration{
 		Routes:   []Route{},
@@ -33,24 +33,24 @@
 	return configuration
 }
 
-// Question is a request to explain.
-type Question struct {
+// ExplainRequest describes the request that /v1/explain explains.
+type ExplainRequest struct {
 	Method string
 	Host   string
 	Path   string
 	Header http.Header
 }
 
-// explain tells what a node of the given zone would do with a request.
-func explain(question Question, current *snapshot.Snapshot, view *membership.View, zone string) Explanation {
-	explanation := Explanation{Version: current.Version(), Generation: current.Generation(), Considered: consider(question, current), EvacuatedZones: current.EvacuatedZones()}
-	route := current.Lookup(question.Method, question.Host, question.Path, question.Header)
+// explain returns what a node of the given zone would do with a request.
+func explain(request ExplainRequest, current *snapshot.Snapshot, view *membership.View, zone string) Explanation {
+	explanation := Explanation{Version: current.Version(), Generation: current.Generation(), Considered: routeVerdicts(request, current), EvacuatedZones: current.EvacuatedZones()}
+	route := current.Lookup(request.Method, request.Host, request.Path, request.Header)
 	if route == nil {
 		return explanation
 	}
-	shown := newRoute(*route)
-	explanation.Route = &shown
-	explanation.MayRepeat = route.MayRepeat(question.Method)
+	matched := newRoute(*route)
+	explanation.Route = &matched
+	explanation.MayRepeat = route.MayRepeat(request.Method)
 	for _, target := range route.Targets {
 		explanation.Targets = append(explanation.Targets, Target{
 			Service:   target.Service,
@@ -61,12 +61,12 @@
 	return explanation
 }
 
-func consider(question Question, current *snapshot.Snapshot) []Consideration {
-	considered := []Consideration{}
-	for _, found := range current.Explain(question.Method, question.Host, question.Path, question.Header) {
-		considered = append(considered, Consideration{Route: found.Route.Name, Verdict: found.Verdict, Header: found.Header})
+func routeVerdicts(request ExplainRequest, current *snapshot.Snapshot) []RouteVerdict {
+	verdicts := []RouteVerdict{}
+	for _, found := range current.Explain(request.Method, request.Host, request.Path, request.Header) {
+		verdicts = append(verdicts, RouteVerdict{Route: found.Route.Name, Verdict: found.Verdict, Header: found.Header})
 	}
-	return considered
+	return verdicts
 }
 
 func targetInstances(endpoints []membership.Endpoint, zone string) []TargetInstance {
--- a/internal/admin/response.go
+++ b/internal/admin/response.go
@@ -9,29 +9,29 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// Duration is a time span that JSON carries with its unit, such as "1.5s".
+// Duration is a time.Duration that is encoded in JSON with its unit, such as "1.5s".
 type Duration time.Duration
 
-// String returns the span with its unit.
+// String returns the duration with its unit.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalText encodes the span with its unit.
+// MarshalText encodes the duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText decodes a span written by MarshalText.
+// UnmarshalText decodes a duration written by MarshalText.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	*d = Duration(parsed)
 	return err
 }
 
-// Refusal is a version that a node refused as a whole.
+// Refusal is a version that a node refused, and why.
 type Refusal struct {
 	Version snapshot.Version `json:"version"`
 	Reason  string           `json:"reason"`
 }
 
-// NodeStatus answers /v1/status: what one node holds.
+// NodeStatus is the response of /v1/status: what one node holds.
 type NodeStatus struct {
 	Node        membership.NodeID      `json:"node"`
 	Incarnation membership.Incarnation `json:"incarnation"`
@@ -42,43 +42,45 @@
 	Generation uint64           `json:"generation"`
 	// Refused is the last refused version, if one was refused since Held.
 	Refused *Refusal `json:"refused,omitempty"`
-	// Conflict is a version seen with the revision of Held and other content.
+	// Conflict is a version seen with the same revision as Held but other content.
 	Conflict *snapshot.Version `json:"conflict,omitempty"`
 	// Reader is set while the node reads the platform.
 	Reader bool `json:"reader"`
-	// SourceAge is how long ago, by the node's knowledge, a reader last
-	// confirmed the revision with the platform; negative when never.
+	// SourceAge is how long ago, as far as the node knows, a reader last confirmed
+	// the revision with the platform; negative if never.
 	SourceAge Duration `json:"source_age"`
 }
 
-// FleetStatus answers /v1/fleet: what each live member holds, sorted by node.
+// FleetStatus is the response of /v1/fleet: what each live member holds, sorted by
+// node.
 type FleetStatus struct {
 	Members []MemberStatus `json:"members"`
-	// Restore is the last restore of the source that the asked node has seen.
+	// Restore is the last restore of the source that the queried node has seen.
 	Restore *Restore `json:"restore,omitempty"`
 }
 
-// Restore tells of a source that came back from a copy of itself.
+// Restore describes a restore of the source from a backup.
 type Restore struct {
-	// From is the version that was in force before, To the first revision read since.
+	// From is the version that was in force before the restore, To the first revision
+	// read after it.
 	From snapshot.Version  `json:"from"`
 	To   snapshot.Revision `json:"to"`
-	// Age is how long ago the node learned of it.
+	// Age is how long ago the node learned of the restore.
 	Age Duration `json:"age"`
-	// Retained is how many statements about instances and evacuations the node holds against the
-	// copy, for RetainedFor at most.
+	// Retained is how many statements about instances and evacuations the node retains in place
+	// of the source's, for RetainedFor at most.
 	Retained    int      `json:"retained"`
 	RetainedFor Duration `json:"retained_for"`
 }
 
-// MemberStatus is the answer of one member, or why there is none.
+// MemberStatus is the status of one member, or the error that prevented its query.
 type MemberStatus struct {
 	Node   membership.NodeID `json:"node"`
 	Status *NodeStatus       `json:"status,omitempty"`
 	Error  string            `json:"error,omitempty"`
 }
 
-// MemberList answers /v1/members: the node's view of the fleet.
+// MemberList is the response of /v1/members: the node's view of the fleet.
 type MemberList struct {
 	Members []Member `json:"members"`
 }
@@ -93,16 +95,16 @@
 	Service     string                 `json:"service,omitempty"`
 	PeerAddress string                 `json:"peer_address"`
 	DataAddress string                 `json:"data_address,omitempty"`
-	// Listed tells whether the platform's list names the node now.
+	// Listed is set while the platform's member list contains the node.
 	Listed bool `json:"listed"`
-	// Leaving is set once the list or the node itself says that it leaves.
+	// Leaving is set once the list or the node itself reports that it leaves.
 	Leaving bool `json:"leaving"`
-	// Suspected is set while neighbours report that they cannot reach the node.
+	// Suspected is set while its peers report that they cannot reach the node.
 	Suspected bool `json:"suspected"`
 }
 
-// Configuration answers /v1/configuration: what is in force, with the names of
-// secrets and never their values.
+// Configuration is the response of /v1/configuration: the configuration in force,
+// with the names of secrets but never their values.
 type Configuration struct {
 	Version    snapshot.Version   `json:"version"`
 	Generation uint64             `json:"generation"`
@@ -113,38 +115,38 @@
 	EvacuatedZones []string `json:"evacuated_zones,omitempty"`
 }
 
-// Route is a compiled route whose timeout is written with its unit.
+// Route is a compiled route whose timeout is encoded with its unit.
 type Route struct {
 	snapshot.Route
 	Timeout Duration `json:"timeout"`
 }
 
-// Explanation answers /v1/explain: what the node would do with a request.
+// Explanation is the response of /v1/explain: what the node would do with a request.
 type Explanation struct {
 	Node       membership.NodeID `json:"node"`
 	Version    snapshot.Version  `json:"version"`
 	Generation uint64            `json:"generation"`
-	// Route is the route that takes the request, or nil.
+	// Route is the route that matches the request, or nil.
 	Route *Route `json:"route,omitempty"`
-	// MayRepeat tells whether the request's method may run more than once.
+	// MayRepeat is set if the route allows a request of this method to run more than
+	// once.
 	MayRepeat bool     `json:"may_repeat"`
 	Targets   []Target `json:"targets,omitempty"`
 	// EvacuatedZones are the zones whose instances get no requests.
 	EvacuatedZones []string `json:"evacuated_zones,omitempty"`
-	// Considered holds each route in matching order and why it takes the request
-	// or not.
-	Considered []Consideration `json:"considered"`
+	// Considered holds the verdict on each route, in matching order.
+	Considered []RouteVerdict `json:"considered"`
 }
 
-// Consideration is one route by name and why it takes the request or not.
-type Consideration struct {
+// RouteVerdict states why a route matches the request or not.
+type RouteVerdict struct {
 	Route   string           `json:"route"`
 	Verdict snapshot.Verdict `json:"verdict"`
-	// Header names the header that differs, if that is the verdict.
+	// Header is the name of the header that differs, if that is the verdict.
 	Header string `json:"header,omitempty"`
 }
 
-// Target is one service of the route and the instances that take work now.
+// Target is one service of the route and the instances that accept requests now.
 type Target struct {
 	Service   string           `json:"service"`
 	Weight    int              `json:"weight"`
@@ -161,12 +163,12 @@
 	Suspected   bool              `json:"suspected"`
 }
 
-// Failure is the body of an answer that is no success.
-type Failure struct {
+// ErrorResponse is the body of a response with an error status.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// newNodeStatus converts the report that nodes send each other.
+// newNodeStatus converts the status that nodes send each other.
 func newNodeStatus(reply wire.StatusReply) NodeStatus {
 	status := NodeStatus{
 		Node:        reply.Node,
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,7 +1,7 @@
-// Package admin owns the operators' HTTP of a node: health, readiness, metrics,
-// status, the effective configuration and explanations, and the client of it
-// that the command line uses. It changes nothing but what is held against requests
-// that crash instances, and never shows the value of a secret.
+// Package admin implements the admin API of a node (HTTP) and the client that the
+// command line uses: health, readiness, metrics, status, the effective configuration
+// and explanations. The API is read-only except for clearing requests suspected of
+// crashing instances, and never shows the value of a secret.
 package admin
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// Paths of the operators' HTTP.
+// Paths of the admin API.
 const (
 	pathHealth        = "/healthz"
 	pathReady         = "/readyz"
@@ -36,7 +36,7 @@
 	pathMembers       = "/v1/members"
 )
 
-// Limits of the operators' HTTP.
+// Limits of the admin API.
 const (
 	headerTimeout  = 5 * time.Second
 	readTimeout    = 10 * time.Second
@@ -44,44 +44,44 @@
 	idleTimeout    = time.Minute
 	fleetTimeout   = 10 * time.Second
 	maxHeaderBytes = 16 << 10
-	// maxFleetQueries bounds the fleet-wide questions in progress, as each opens
-	// a connection to every member.
+	// maxFleetQueries limits concurrent fleet-wide queries, as each opens a connection
+	// to every member.
 	maxFleetQueries = 2
-	// maxRequests bounds all other requests in progress.
+	// maxRequests limits all other concurrent requests.
 	maxRequests = 64
 )
 
-// Snapshots gives the configuration in force, or nil while there is none.
+// Snapshots provides the configuration in force, or nil while there is none.
 type Snapshots interface {
 	Current() *snapshot.Snapshot
 }
 
-// Restores tells of the last restore of the source that the node has seen.
+// Restores provides the last restore of the source that the node has seen.
 type Restores interface {
 	LastRestore() (restore configuration.Restore, seen bool)
 }
 
-// Options are what the operators' HTTP shows.
+// Options are the sources of what the admin API shows.
 type Options struct {
 	Zone      string
 	Snapshots Snapshots
 	Fleet     distribution.Fleet
 	Status    distribution.StatusSource
-	// Restores knows the last restore of the source; nil: none.
+	// Restores may be nil if the source is never restored.
 	Restores Restores
-	// Suspects knows the requests that may crash instances; nil: none.
+	// Suspects holds the requests that may crash instances; nil means an empty ledger.
 	Suspects *suspects.Ledger
 	Gatherer prometheus.Gatherer
 	Logger   logrus.FieldLogger
 }
 
-// Server answers operators. It is an http.Handler.
+// Server serves the admin API. It is an http.Handler.
 type Server struct {
 	options Options
 	router  chi.Router
 }
 
-// New returns the operators' HTTP of one node.
+// New returns the admin API of one node.
 func New(options Options) *Server {
 	if options.Suspects == nil {
 		options.Suspects = suspects.NewLedger()
@@ -103,22 +103,22 @@
 	return server
 }
 
-// ServeHTTP answers one request of an operator.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// HTTPServer returns an http.Server with the limits of the operators' HTTP.
-func (s *Server) HTTPServer() *http.Server { return limited(s) }
+// HTTPServer returns an http.Server that serves the API with its limits.
+func (s *Server) HTTPServer() *http.Server { return newHTTPServer(s) }
 
-// MetricsServer returns an http.Server that serves the metrics alone, for networks
-// on which nothing else of the operators' HTTP may be read.
+// MetricsServer returns an http.Server that serves only the metrics, for networks
+// on which nothing else of the admin API may be read.
 func (s *Server) MetricsServer() *http.Server {
 	router := chi.NewRouter()
 	router.Use(middleware.Throttle(maxRequests))
 	router.Method(http.MethodGet, pathMetrics, promhttp.HandlerFor(s.options.Gatherer, promhttp.HandlerOpts{}))
-	return limited(router)
+	return newHTTPServer(router)
 }
 
-func limited(handler http.Handler) *http.Server {
+func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
@@ -133,8 +133,8 @@
 	writeText(w, http.StatusOK, "alive\n")
 }
 
-// ready says whether the node takes new work: it holds a version and publishes
-// that it is ready.
+// ready reports whether the node accepts new requests: it holds a version and
+// announces that it is ready.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	status := s.options.Status.Status()
 	switch {
@@ -159,18 +159,18 @@
 	s.write(w, http.StatusOK, fleet)
 }
 
-// lastRestore returns nil where the source was not restored.
+// lastRestore returns the last restore of the source, or nil if there was none.
 func (s *Server) lastRestore() *Restore {
 	if s.options.Restores == nil {
 		return nil
 	}
-	seen, restored := s.options.Restores.LastRestore()
-	if !restored {
+	restore, seen := s.options.Restores.LastRestore()
+	if !seen {
 		return nil
 	}
 	return &Restore{
-		From: seen.From, To: seen.To, Age: Duration(seen.Age.Round(time.Millisecond)),
-		Retained: seen.Retained, RetainedFor: Duration(seen.Left.Round(time.Millisecond)),
+		From: restore.From, To: restore.To, Age: Duration(restore.Age.Round(time.Millisecond)),
+		Retained: restore.Retained, RetainedFor: Duration(restore.Left.Round(time.Millisecond)),
 	}
 }
 
@@ -183,48 +183,49 @@
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
-	question, problem := questionFrom(r)
+	request, problem := parseExplainRequest(r)
 	if problem != "" {
-		s.write(w, http.StatusBadRequest, Failure{Error: problem})
+		s.write(w, http.StatusBadRequest, ErrorResponse{Error: problem})
 		return
 	}
 	current := s.options.Snapshots.Current()
 	if current == nil {
-		s.write(w, http.StatusServiceUnavailable, Failure{Error: "the node holds no configuration version yet"})
+		s.write(w, http.StatusServiceUnavailable, ErrorResponse{Error: "the node holds no configuration version yet"})
 		return
 	}
-	explanation := explain(question, current, s.options.Fleet.View(), s.options.Zone)
+	explanation := explain(request, current, s.options.Fleet.View(), s.options.Zone)
 	explanation.Node = s.options.Status.Status().Node
 	s.write(w, http.StatusOK, explanation)
 }
 
-// questionFrom reads the query of /v1/explain, or says what is wrong with it.
-func questionFrom(r *http.Request) (Question, string) {
+// parseExplainRequest parses the query of /v1/explain. It returns a problem if the
+// query is invalid.
+func parseExplainRequest(r *http.Request) (ExplainRequest, string) {
 	query := r.URL.Query()
-	question := Question{
+	request := ExplainRequest{
 		Method: query.Get(queryMethod),
 		Host:   query.Get(queryHost),
 		Path:   query.Get(queryPath),
 		Header: http.Header{},
 	}
-	if question.Method == "" || !strings.HasPrefix(question.Path, "/") {
-		return question, "give the query a method and a path that starts with /"
+	if request.Method == "" || !strings.HasPrefix(request.Path, "/") {
+		return request, "give the query a method and a path that starts with /"
 	}
 	for _, line := range query[queryHeader] {
 		name, value, found := strings.Cut(line, ":")
 		if !found {
-			return question, "write a header as NAME:VALUE"
+			return request, "write a header as NAME:VALUE"
 		}
-		question.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
+		request.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
-	return question, ""
+	return request, ""
 }
 
-func (s *Server) write(w http.ResponseWriter, code int, answer any) {
+func (s *Server) write(w http.ResponseWriter, code int, response any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	if err := json.NewEncoder(w).Encode(answer); err != nil {
-		s.options.Logger.WithError(err).Debug("could not write an answer to an operator")
+	if err := json.NewEncoder(w).Encode(response); err != nil {
+		s.options.Logger.WithError(err).Debug("could not write a response of the admin API")
 	}
 }
 
--- a/internal/admin/suspects.go
+++ b/internal/admin/suspects.go
@@ -11,28 +11,29 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// Paths about requests that may crash instances.
+// Paths for requests that may crash instances.
 const (
-	pathSuspects     = "/v1/suspects"
-	parameterSuspect = "fingerprint"
-	clearSuspect     = "/clear"
-	pathClearSuspect = pathSuspects + "/{" + parameterSuspect + "}" + clearSuspect
+	pathSuspects         = "/v1/suspects"
+	fingerprintParameter = "fingerprint"
+	clearSuffix          = "/clear"
+	pathClearSuspect     = pathSuspects + "/{" + fingerprintParameter + "}" + clearSuffix
 )
 
-// Suspect is the content of requests that may crash the instances which run them.
+// Suspect identifies requests, by the fingerprint of their content, that may crash the
+// instances that run them.
 type Suspect struct {
 	Fingerprint string `json:"fingerprint"`
 	// Standing is "suspected" or "quarantined".
 	Standing string `json:"standing"`
-	// Crashes counts the crashes at which such a request was in progress, Probes those under
-	// a probe.
+	// Crashes counts the crashes at which such a request was in progress, Probes those of
+	// them that happened during a probe.
 	Crashes int `json:"crashes"`
 	Probes  int `json:"probes"`
-	// RefusedUntil is when a quarantined one may be sent again; zero for others.
+	// RefusedUntil is when quarantined requests may be sent again; zero for others.
 	RefusedUntil time.Time `json:"refused_until,omitzero"`
 }
 
-// SuspectList lists what a node knows, which is what the fleet knows.
+// SuspectList is the response of /v1/suspects. All nodes share this list.
 type SuspectList struct {
 	Suspects []Suspect `json:"suspects"`
 }
@@ -48,28 +49,29 @@
 	s.write(w, http.StatusOK, list)
 }
 
-// clearSuspect lets requests of a content in again, at all nodes.
+// clearSuspect clears a fingerprint on all nodes, so that its requests are accepted again.
 func (s *Server) clearSuspect(w http.ResponseWriter, r *http.Request) {
-	content, err := suspects.ParseFingerprint(chi.URLParam(r, parameterSuspect))
+	fingerprint, err := suspects.ParseFingerprint(chi.URLParam(r, fingerprintParameter))
 	if err != nil {
-		s.write(w, http.StatusBadRequest, Failure{Error: err.Error()})
+		s.write(w, http.StatusBadRequest, ErrorResponse{Error: err.Error()})
 		return
 	}
-	if s.options.Suspects.Assess(content).Standing == suspects.Clear {
-		s.write(w, http.StatusNotFound, Failure{Error: "nothing stands against requests of that fingerprint"})
+	if s.options.Suspects.Assess(fingerprint).Standing == suspects.Clear {
+		s.write(w, http.StatusNotFound, ErrorResponse{Error: "nothing stands against requests of that fingerprint"})
 		return
 	}
-	s.options.Suspects.Answered(content)
-	s.options.Logger.WithField("fingerprint", content.String()).Warn("an operator cleared the requests of a fingerprint")
+	s.options.Suspects.Answered(fingerprint)
+	s.options.Logger.WithField("fingerprint", fingerprint.String()).Warn("an operator cleared a suspected fingerprint")
 	s.suspects(w, r)
 }
 
-// Suspects asks which requests may crash instances.
+// Suspects returns the requests that may crash instances.
 func (c *Client) Suspects(ctx context.Context) (SuspectList, error) {
-	return ask[SuspectList](ctx, c, http.MethodGet, pathSuspects, nil)
+	return sendRequest[SuspectList](ctx, c, http.MethodGet, pathSuspects, nil)
 }
 
-// ClearSuspect lets requests of a fingerprint in again, at all nodes. It returns what is left.
+// ClearSuspect clears a fingerprint on all nodes, so that its requests are accepted again. It
+// returns the remaining suspects.
 func (c *Client) ClearSuspect(ctx context.Context, fingerprint string) (SuspectList, error) {
-	return ask[SuspectList](ctx, c, http.MethodPost, pathSuspects+"/"+url.PathEscape(fingerprint)+clearSuspect, nil)
+	return sendRequest[SuspectList](ctx, c, http.MethodPost, pathSuspects+"/"+url.PathEscape(fingerprint)+clearSuffix, nil)
 }
--- a/internal/admin/suspects_test.go
+++ b/internal/admin/suspects_test.go
@@ -12,12 +12,13 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// TestSuspects: operators see the requests that may crash instances, and let one in again.
+// TestSuspects checks that operators can list the requests that may crash instances and clear
+// one of them.
 func TestSuspects(t *testing.T) {
 	c := qt.New(t)
 	ledger := suspects.NewLedger()
-	quarantined, victim := suspects.Of("GET", "h", "/a", nil), suspects.Of("GET", "h", "/b", nil)
-	ledger.Crashed("i-1", []suspects.InProgress{{Fingerprint: quarantined}, {Fingerprint: victim}})
+	quarantined, bystander := suspects.Of("GET", "h", "/a", nil), suspects.Of("GET", "h", "/b", nil)
+	ledger.Crashed("i-1", []suspects.InProgress{{Fingerprint: quarantined}, {Fingerprint: bystander}})
 	node := newFakeNode(c)
 	server := httptest.NewServer(admin.New(admin.Options{Snapshots: node, Fleet: node, Status: node, Suspects: ledger,
 		Gatherer: prometheus.NewRegistry(), Logger: logging.Discard()}))
@@ -32,7 +33,7 @@
 	ledger.Crashed("i-2", []suspects.InProgress{{Fingerprint: quarantined, Probe: true}})
 	list, err = client.Suspects(t.Context())
 	c.Assert(err, qt.IsNil)
-	c.Assert(list.Suspects, qt.HasLen, 1) // the crash is explained
+	c.Assert(list.Suspects, qt.HasLen, 1) // the probe explains the first crash, so the bystander is clear
 	c.Check(list.Suspects[0].Fingerprint, qt.Equals, quarantined.String())
 	c.Check(list.Suspects[0].Standing, qt.Equals, "quarantined")
 	c.Check(list.Suspects[0].Crashes, qt.Equals, 2)
@@ -45,5 +46,5 @@
 	_, err = client.ClearSuspect(t.Context(), quarantined.String())
 	c.Assert(err, qt.IsNil)
 	c.Check(ledger.Assess(quarantined).Standing, qt.Equals, suspects.Clear)
-	c.Check(ledger.Assess(victim).Standing, qt.Equals, suspects.Suspected) // nothing explains the first crash now
+	c.Check(ledger.Assess(bystander).Standing, qt.Equals, suspects.Suspected) // without the probe, nothing explains the first crash
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -23,20 +23,20 @@
 	} `positional-args:"yes"`
 }
 
-// checkReport tells what became of one content file.
+// checkReport is the result of checking one content file.
 type checkReport struct {
 	File       string          `json:"file"`
 	Accepted   bool            `json:"accepted"`
 	Faults     []*policy.Error `json:"faults,omitempty"`
-	Problem    string          `json:"problem,omitempty"` // when it is not in a policy
+	Problem    string          `json:"problem,omitempty"` // an error outside the policies
 	Routes     []string        `json:"routes,omitempty"`
 	Conditions []string        `json:"conditions,omitempty"`
 }
 
-// Execute checks the files and prints a report for each.
+// Execute checks the files and prints a report for each content file.
 func (c *checkCommand) Execute([]string) error {
 	if c.Settings == "" && len(c.Arguments.Content) == 0 {
-		return &result{code: ExitUsage, message: "nothing to check: name a content file or --settings FILE"}
+		return &exitError{code: ExitUsage, message: "nothing to check: name a content file or --settings FILE"}
 	}
 	if c.Settings != "" {
 		if _, err := settings.Load(c.Settings, nil); err != nil {
@@ -55,7 +55,7 @@
 		return err
 	}
 	if !accepted {
-		return &result{code: ExitRefused}
+		return &exitError{code: ExitRefused}
 	}
 	return nil
 }
@@ -81,8 +81,8 @@
 	return report
 }
 
-// compileFile compiles a content file for every answer to its conditions, and
-// returns the snapshot for an empty fleet.
+// compileFile compiles a content file for every combination of its conditions on the
+// fleet, and returns the snapshot for an empty fleet.
 func compileFile(file string) (*snapshot.Snapshot, *policy.Plan, error) {
 	content, err := contentfile.LoadContent(file)
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli owns the command line of winchhead: one file a subcommand, the
-// output for people and programs, and the exit codes.
+// Package cli implements the command line of winchhead: the subcommands, one per
+// file, their output as text or JSON, and the exit codes.
 package cli
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// environment is what a subcommand gets from the process.
+// environment holds the context and output streams of a subcommand.
 type environment struct {
 	ctx    context.Context
 	stdout io.Writer
@@ -27,7 +27,7 @@
 }
 
 // Run parses the arguments (without the program's name), runs the subcommand and
-// returns the exit code. Cancelling ctx stops a node in the planned way.
+// returns the exit code. Cancelling ctx starts a planned stop of a node.
 func Run(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
 	env := environment{ctx: ctx, stdout: stdout, stderr: stderr}
 	parser, err := newParser(env)
@@ -35,14 +35,14 @@
 		panic(err)
 	}
 	_, err = parser.ParseArgs(arguments)
-	return report(env, err)
+	return reportError(env, err)
 }
 
 func newParser(env environment) (*flags.Parser, error) {
 	parser := flags.NewNamedParser("winchhead", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "Winchhead distributes configuration to the proxies of a service mesh."
 	node := &nodeCommand{environment: env}
-	effective := &settingsCommand{environment: env}
+	showSettings := &settingsCommand{environment: env}
 	subcommands := []subcommand{
 		{"node", "Run a node", nodeHelp, node},
 		{"check", "Compile policies without a node", checkHelp, &checkCommand{environment: env}},
@@ -53,7 +53,7 @@
 		{"trace", "Show what the logs tell of one request", traceHelp, &traceCommand{environment: env}},
 		{"convergence", "Show how fast changes came into force, and at what cost", convergenceHelp, &convergenceCommand{environment: env}},
 		{"losses", "Show which requests were not served in time, and why", lossesHelp, &lossesCommand{environment: env}},
-		{"settings", "Show the effective settings and their origin", settingsHelp, effective},
+		{"settings", "Show the effective settings and their origin", settingsHelp, showSettings},
 		{"version", "Show the build", "Prints the version of the program and of Go.", &versionCommand{environment: env}},
 	}
 	added := map[string]*flags.Command{}
@@ -67,11 +67,12 @@
 	if err := addSettingsFlags(added["node"], &node.settingsFlags); err != nil {
 		return nil, err
 	}
-	return parser, addSettingsFlags(added["settings"], &effective.settingsFlags)
+	return parser, addSettingsFlags(added["settings"], &showSettings.settingsFlags)
 }
 
-// report prints err and returns the exit code.
-func report(env environment, err error) int {
+// reportError prints err, with advice if there is any, and returns the exit code. A
+// request for help is not an error.
+func reportError(env environment, err error) int {
 	var usage *flags.Error
 	if errors.As(err, &usage) && usage.Type == flags.ErrHelp {
 		_, _ = fmt.Fprintln(env.stdout, usage.Message)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -20,12 +20,13 @@
 
 // run runs one command and returns its exit code and output.
 func run(c *qt.C, arguments ...string) (code int, stdout, stderr string) {
-	var out, faults bytes.Buffer
-	code = Run(c.Context(), arguments, &out, &faults)
-	return code, out.String(), faults.String()
+	var out, errs bytes.Buffer
+	code = Run(c.Context(), arguments, &out, &errs)
+	return code, out.String(), errs.String()
 }
 
-// member returns what a member holds; refused may be zero.
+// member returns the status of a member that holds one revision and refused another,
+// which may be 0 for none.
 func member(held, refused snapshot.Revision) admin.MemberStatus {
 	status := &admin.NodeStatus{Node: "centro-edge", Zone: "centro", State: "ready", Held: snapshot.Version{Revision: held}}
 	if refused > 0 {
@@ -34,24 +35,24 @@
 	return admin.MemberStatus{Node: status.Node, Status: status}
 }
 
-var silent = admin.MemberStatus{Node: "cerro-edge", Error: "no route to host"}
+var unreachableMember = admin.MemberStatus{Node: "cerro-edge", Error: "no route to host"}
 
-func TestProgressOfARevision(t *testing.T) {
+func TestAssess(t *testing.T) {
 	rows := []struct {
-		name    string
-		members []admin.MemberStatus
-		want    progress
-		code    int
-		says    string
+		name     string
+		members  []admin.MemberStatus
+		want     progress
+		code     int
+		wantText string
 	}{
 		{"all hold it", []admin.MemberStatus{member(7, 0), member(7, 0)}, progressInForce, ExitOK, "in force on all 2"},
-		{"one is further", []admin.MemberStatus{member(7, 0), member(8, 0)}, progressInForce, ExitOK, "in force on all 2"},
+		{"one holds a later one", []admin.MemberStatus{member(7, 0), member(8, 0)}, progressInForce, ExitOK, "in force on all 2"},
 		{"one is behind", []admin.MemberStatus{member(7, 0), member(6, 0)}, progressPending, ExitPending, "still holds 6/"},
 		{"one holds nothing", []admin.MemberStatus{member(7, 0), member(0, 0)}, progressPending, ExitPending, "holds no version"},
-		{"one is silent", []admin.MemberStatus{member(7, 0), silent}, progressPending, ExitPending, "no route to host"},
-		{"refused at the first", []admin.MemberStatus{member(6, 7), member(6, 0)}, progressRefused, ExitRefused, "no such service"},
+		{"one does not respond", []admin.MemberStatus{member(7, 0), unreachableMember}, progressPending, ExitPending, "no route to host"},
+		{"refused by the first", []admin.MemberStatus{member(6, 7), member(6, 0)}, progressRefused, ExitRefused, "no such service"},
 		{"refused by one only", []admin.MemberStatus{member(7, 0), member(6, 7)}, progressPending, ExitPending, "no such service"},
-		{"another one refused", []admin.MemberStatus{member(6, 5), member(6, 5)}, progressPending, ExitPending, "still holds 6/"},
+		{"another revision refused", []admin.MemberStatus{member(6, 5), member(6, 5)}, progressPending, ExitPending, "still holds 6/"},
 		{"no members", nil, progressPending, ExitPending, "0 of 0"},
 	}
 	for _, row := range rows {
@@ -62,12 +63,13 @@
 			c.Assert(assessed.Progress.exitCode(), qt.Equals, row.code)
 			var out bytes.Buffer
 			assessed.write(&out)
-			c.Assert(out.String(), qt.Contains, row.says)
+			c.Assert(out.String(), qt.Contains, row.wantText)
 		})
 	}
 }
 
-// fleetServer answers /v1/fleet with one fleet after the other, then the last.
+// fleetServer serves the fleets one after the other at /v1/fleet, and then the last one
+// again.
 func fleetServer(c *qt.C, fleets ...admin.FleetStatus) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.Check(r.URL.Path, qt.Equals, "/v1/fleet")
@@ -80,7 +82,7 @@
 	return server.Listener.Addr().String()
 }
 
-func TestWatchEndsWithTheFleet(t *testing.T) {
+func TestWatchWaitsForFleet(t *testing.T) {
 	c := qt.New(t)
 	before := admin.FleetStatus{Members: []admin.MemberStatus{member(6, 0)}}
 	refused := admin.FleetStatus{Members: []admin.MemberStatus{member(6, 7)}}
@@ -94,9 +96,10 @@
 	c.Assert(stdout, qt.Contains, "trips:3: no such service")
 }
 
-// TestWatchInAnEpoch: a platform that was restored from a copy gives numbers out again. A number
-// alone is one of the newest epoch that a member holds, not one that was passed long ago.
-func TestWatchInAnEpoch(t *testing.T) {
+// TestWatchAfterRestore: a platform that is restored from a backup reuses revision numbers. A
+// number without an epoch means the newest epoch that a member holds, so that watch does not
+// take the same number of an earlier epoch for it.
+func TestWatchAfterRestore(t *testing.T) {
 	c := qt.New(t)
 	restored := func(number uint64) admin.FleetStatus {
 		return admin.FleetStatus{Members: []admin.MemberStatus{member(snapshot.NewRevision(2, number), 0)}}
@@ -116,15 +119,15 @@
 	c.Check(stderr, qt.Contains, "is not a revision")
 }
 
-// TestWatchThatEndsFirstTellsWhatIsMissing ends the wait at the second question.
-func TestWatchThatEndsFirstTellsWhatIsMissing(t *testing.T) {
+// TestCancelledWatchReportsMissingMembers cancels the wait at the second query.
+func TestCancelledWatchReportsMissingMembers(t *testing.T) {
 	c := qt.New(t)
-	ctx, end := context.WithCancel(c.Context())
-	asked := 0
+	ctx, cancel := context.WithCancel(c.Context())
+	queries := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked++
-		if asked > 1 {
-			end()
+		queries++
+		if queries > 1 {
+			cancel()
 			return
 		}
 		c.Check(json.NewEncoder(w).Encode(admin.FleetStatus{Members: []admin.MemberStatus{member(6, 0)}}), qt.IsNil)
@@ -139,7 +142,7 @@
 	c.Assert(report.Missing, qt.HasLen, 1)
 }
 
-func TestStatusTellsOfARestore(t *testing.T) {
+func TestStatusShowsRestore(t *testing.T) {
 	c := qt.New(t)
 	fleet := admin.FleetStatus{Members: []admin.MemberStatus{member(snapshot.NewRevision(2, 30), 0)}}
 	_, stdout, _ := run(c, "status", "--admin", fleetServer(c, fleet))
@@ -149,18 +152,18 @@
 		Retained: 12, RetainedFor: admin.Duration(4500 * time.Millisecond),
 	}
 	_, stdout, _ = run(c, "status", "--admin", fleetServer(c, fleet))
-	c.Check(stdout, qt.Contains, "The source was restored from a copy 1.5s ago: from 1:97/")
-	c.Check(stdout, qt.Contains, " to 2:30. 12 statements about instances and evacuations are kept against it, for 4.5s more at most.")
+	c.Check(stdout, qt.Contains, "The source was restored from a backup 1.5s ago: from 1:97/")
+	c.Check(stdout, qt.Contains, " to 2:30. 12 statements about instances and evacuations are retained in place of the backup's, for 4.5s more at most.")
 	fleet.Restore.Retained = 0
 	_, stdout, _ = run(c, "status", "--admin", fleetServer(c, fleet))
 	c.Check(stdout, qt.Contains, " to 2:30.\n")
 }
 
-func TestStatusExitCodeTellsOfTheNewestRevision(t *testing.T) {
+func TestStatusExitCode(t *testing.T) {
 	c := qt.New(t)
 	for code, fleet := range map[int]admin.FleetStatus{
 		ExitOK:      {Members: []admin.MemberStatus{member(7, 0), member(7, 0)}},
-		ExitPending: {Members: []admin.MemberStatus{member(7, 0), silent}},
+		ExitPending: {Members: []admin.MemberStatus{member(7, 0), unreachableMember}},
 		ExitRefused: {Members: []admin.MemberStatus{member(7, 8), member(7, 0)}},
 	} {
 		got, stdout, _ := run(c, "status", "--admin", fleetServer(c, fleet))
@@ -183,13 +186,13 @@
 		{"no command", "", ExitUsage, "", "specify one command"},
 		{"unknown command", "begin", ExitUsage, "", "Unknown command"},
 		{"missing flag", "watch", ExitUsage, "", "--revision"},
-		{"no node there", "status --admin 127.0.0.1:1", ExitUnreachable, "", "Check that the node runs"},
+		{"no node at the address", "status --admin 127.0.0.1:1", ExitUnreachable, "", "Check that the node runs"},
 		{"settings", "settings --settings " + example + " --log.level debug", ExitOK, "debug", ""},
 		{"wrong settings", "settings --settings " + example + " --node.zone=", ExitUsage, "", "flag --node.zone: missing"},
 		{"no settings file", "settings --settings nowhere.yaml", ExitUsage, "", "cannot read the settings file"},
 		{"bad header", "explain --header nonsense", ExitUsage, "", "write NAME:VALUE"},
 		{"address of another machine", "node --settings " + example + " --peers.listen 192.0.2.1:1", ExitFailed, "", "Free the address"},
-		{"no keys", "node --settings " + example + " --tls.key_file k --tls.certificate_file c --tls.authority_file a " + freePorts,
+		{"no TLS files", "node --settings " + example + " --tls.key_file k --tls.certificate_file c --tls.authority_file a " + freePorts,
 			ExitUsage, "", "certificate_file"},
 		{"version", "version --output json", ExitOK, `"protocol": 2`, ""},
 	}
@@ -204,7 +207,7 @@
 	}
 }
 
-func TestCheckPointsAtTheFault(t *testing.T) {
+func TestCheckLocatesErrors(t *testing.T) {
 	c := qt.New(t)
 	for _, example := range []string{"montevideo", "kerlann"} {
 		code, stdout, _ := run(c, "check", "../../examples/"+example+"/content.yaml")
--- a/internal/cli/convergence.go
+++ b/internal/cli/convergence.go
@@ -21,12 +21,12 @@
 	} `positional-args:"yes"`
 }
 
-// Execute prints the figures.
+// Execute reads the logs and prints how long changes took and what they cost.
 func (c *convergenceCommand) Execute([]string) error {
 	logs := convergence.New()
 	for _, name := range c.Arguments.Logs {
 		if err := readLog(logs, name); err != nil {
-			return &result{code: ExitUsage, message: err.Error()}
+			return &exitError{code: ExitUsage, message: err.Error()}
 		}
 	}
 	report := logs.Report()
@@ -34,7 +34,7 @@
 		return err
 	}
 	if report.Changes == 0 {
-		return &result{code: ExitRefused, message: "the logs tell of no change: pass the logs of all nodes, in JSON"}
+		return &exitError{code: ExitRefused, message: "the logs contain no change of the configuration: pass the logs of all nodes, in JSON"}
 	}
 	return nil
 }
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	node := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
 	return logs.Read(node, file)
 }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -13,59 +13,59 @@
 
 // The exit codes of winchhead. docs/OPERATIONS.md lists them.
 const (
-	// ExitOK: what was asked holds.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
 	// ExitRefused: a check failed, a revision was refused, or no route matches.
 	ExitRefused = 1
 	// ExitUsage: the command line or the settings are wrong.
 	ExitUsage = 2
-	// ExitUnreachable: the node asked gave no answer.
+	// ExitUnreachable: the queried node did not respond.
 	ExitUnreachable = 3
 	// ExitPending: the version is not, or not yet, in force everywhere.
 	ExitPending = 4
 	// ExitFailed: a part of the node failed and ended the process.
 	ExitFailed = 5
-	// ExitCutShort: a second signal ended a planned stop before its end.
+	// ExitCutShort: a second signal cut a planned stop short.
 	ExitCutShort = 6
 )
 
-// result is an error that carries the exit code of the process.
-type result struct {
+// exitError is an error that carries the exit code of the process.
+type exitError struct {
 	code    int
 	message string
 }
 
-// Error returns the message for the operator; it may be empty when the output
-// already says everything.
-func (r *result) Error() string { return r.message }
+// Error returns the message for the operator, which is empty if the output already
+// contains all information.
+func (e *exitError) Error() string { return e.message }
 
-// exitCode returns the exit code that tells of err.
+// exitCode returns the exit code for err.
 func exitCode(err error) int {
 	var (
-		ended       *result
+		withCode    *exitError
 		usage       *flags.Error
-		fault       *settings.Error
+		invalid     *settings.Error
 		unusable    *app.SettingsError
 		unreachable *admin.UnreachableError
-		answer      *admin.AnswerError
+		response    *admin.ResponseError
 	)
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &ended):
-		return ended.code
-	case errors.As(err, &usage), errors.As(err, &fault), errors.As(err, &unusable):
+	case errors.As(err, &withCode):
+		return withCode.code
+	case errors.As(err, &usage), errors.As(err, &invalid), errors.As(err, &unusable):
 		return ExitUsage
 	case errors.As(err, &unreachable):
 		return ExitUnreachable
-	case errors.As(err, &answer):
+	case errors.As(err, &response):
 		return ExitRefused
 	default:
 		return ExitFailed
 	}
 }
 
-// advice tells the operator what to do next, or returns "".
+// advice returns what the operator can do about err, or "".
 func advice(err error) string {
 	var (
 		usage       *flags.Error
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -23,17 +23,17 @@
 	Header []string `long:"header" value-name:"NAME:VALUE" description:"a header of the request; may be given again"`
 }
 
-// Execute asks the node and prints its answer.
+// Execute queries the node and prints the explanation.
 func (c *explainCommand) Execute([]string) error {
-	question := admin.Question{Method: c.Method, Host: c.Host, Path: c.Path, Header: http.Header{}}
+	request := admin.ExplainRequest{Method: c.Method, Host: c.Host, Path: c.Path, Header: http.Header{}}
 	for _, line := range c.Header {
 		name, value, found := strings.Cut(line, ":")
 		if !found {
-			return &result{code: ExitUsage, message: fmt.Sprintf("--header %q: write NAME:VALUE", line)}
+			return &exitError{code: ExitUsage, message: fmt.Sprintf("--header %q: write NAME:VALUE", line)}
 		}
-		question.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
+		request.Header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
-	explanation, err := admin.NewClient(c.Admin).Explain(c.ctx, question)
+	explanation, err := admin.NewClient(c.Admin).Explain(c.ctx, request)
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 		return err
 	}
 	if explanation.Route == nil {
-		return &result{code: ExitRefused}
+		return &exitError{code: ExitRefused}
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 	route := explanation.Route
 	if route == nil {
 		_, _ = fmt.Fprintln(out, "No route takes this request: it would be answered 404, not run.")
-		writeConsidered(out, explanation.Considered)
+		writeVerdicts(out, explanation.Considered)
 		return
 	}
 	_, _ = fmt.Fprintf(out, "Route     %s\n", route.Name)
@@ -70,15 +70,15 @@
 	lines.flush()
 }
 
-// writeConsidered lists why each route does not take the request.
-func writeConsidered(out io.Writer, considered []admin.Consideration) {
+// writeVerdicts lists why each route does not match the request.
+func writeVerdicts(out io.Writer, verdicts []admin.RouteVerdict) {
 	lines := newTable(out, "\nROUTE", "WHY NOT")
-	for _, consideration := range considered {
-		reason := string(consideration.Verdict)
-		if consideration.Header != "" {
-			reason += " (" + consideration.Header + ")"
+	for _, verdict := range verdicts {
+		reason := string(verdict.Verdict)
+		if verdict.Header != "" {
+			reason += " (" + verdict.Header + ")"
 		}
-		lines.row(consideration.Route, reason)
+		lines.row(verdict.Route, reason)
 	}
 	lines.flush()
 }
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -25,11 +25,11 @@
 	} `positional-args:"yes"`
 }
 
-// Execute prints the losses.
+// Execute reads the logs and prints the losses.
 func (c *lossesCommand) Execute([]string) error {
 	logs, closeLogs, err := openLogs(c.Arguments.Logs)
 	if err != nil {
-		return &result{code: ExitUsage, message: err.Error()}
+		return &exitError{code: ExitUsage, message: err.Error()}
 	}
 	defer closeLogs()
 	report, err := lossreport.Read(logs)
@@ -46,7 +46,7 @@
 		return err
 	}
 	if len(report.Rows) == 0 {
-		return &result{code: ExitRefused, message: "the logs tell of no losses: pass the logs of the nodes at which the requests started, in JSON"}
+		return &exitError{code: ExitRefused, message: "the logs contain no losses: pass the logs of the nodes at which the requests started, in JSON"}
 	}
 	return nil
 }
@@ -66,7 +66,7 @@
 		}
 		lost := int64(max(row.Lost(), 1))
 		_, _ = fmt.Fprintf(table, "\t%d\t%d\t%d\t%d\t%s\t%s\n", row.WaitingMillis/lost, row.InstanceMillis/lost,
-			row.BetweenMillis/lost, row.AgainMillis/lost, mostFirst(row.Reasons), mostFirst(row.Instances))
+			row.BetweenMillis/lost, row.AgainMillis/lost, topCounts(row.Reasons), topCounts(row.Instances))
 	}
 	_ = table.Flush()
 	if len(report.Rows) > 0 {
@@ -77,16 +77,16 @@
 	}
 }
 
-// shownCounts bounds the names of a cell.
-const shownCounts = 4
+// maxShownCounts limits the names in one cell.
+const maxShownCounts = 4
 
-// mostFirst writes the greatest counts.
-func mostFirst(counts map[string]int) string {
+// topCounts formats the names with the highest counts, highest first.
+func topCounts(counts map[string]int) string {
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
-	shown := make([]string, 0, shownCounts)
-	for _, name := range names[:min(len(names), shownCounts)] {
+	shown := make([]string, 0, maxShownCounts)
+	for _, name := range names[:min(len(names), maxShownCounts)] {
 		shown = append(shown, fmt.Sprintf("%s:%d", name, counts[name]))
 	}
 	return strings.Join(shown, " ")
--- a/internal/cli/memory.go
+++ b/internal/cli/memory.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// heapShare of the machine's memory is what the runtime may take before it collects
-	// garbage as often as it must. The rest is for what it does not count: the kernel's
-	// buffers of connections, threads' stacks of C, bytes that came and are not yet read.
-	heapShare = 0.7
-	// bytesPerMegabyte turns the setting node.memory_mb to bytes.
+	// goMemoryShare is the share of the configured memory that is set as the memory limit of the
+	// Go runtime, above which it collects garbage as often as necessary. The rest is for what the
+	// limit does not count: kernel buffers of connections, including data received but not yet
+	// read, and the C stacks of threads.
+	goMemoryShare = 0.7
+	// bytesPerMegabyte converts the setting node.memory_mb to bytes.
 	bytesPerMegabyte = 1 << 20
-	// variableMemoryLimit is the runtime's own setting, which goes first.
-	variableMemoryLimit = "GOMEMLIMIT"
+	// memoryLimitVariable sets the limit of the runtime. It takes precedence.
+	memoryLimitVariable = "GOMEMLIMIT"
 )
 
-// memoryLimit is the limit of the runtime on a machine with that much memory; zero: none
-// of our own.
+// memoryLimit returns the memory limit of the runtime for the configured memory, or 0 for no
+// limit.
 func memoryLimit(configured settings.Node) int64 {
-	return int64(heapShare * configured.MemoryMb * bytesPerMegabyte)
+	return int64(goMemoryShare * configured.MemoryMb * bytesPerMegabyte)
 }
 
-// limitMemory makes the runtime keep to the machine's memory.
+// limitMemory sets the memory limit of the runtime, unless the environment does.
 func limitMemory(configured settings.Node) {
-	_, given := os.LookupEnv(variableMemoryLimit)
-	if limit := memoryLimit(configured); limit > 0 && !given {
+	_, isSet := os.LookupEnv(memoryLimitVariable)
+	if limit := memoryLimit(configured); limit > 0 && !isSet {
 		debug.SetMemoryLimit(limit)
 	}
 }
--- a/internal/cli/memory_test.go
+++ b/internal/cli/memory_test.go
@@ -10,23 +10,23 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// TestMemoryLimitFollowsTheMachine: below what the machine has, unless the runtime's own
-// variable says otherwise.
-func TestMemoryLimitFollowsTheMachine(t *testing.T) {
+// TestMemoryLimit checks that the limit of the runtime is below the configured memory, and
+// that GOMEMLIMIT takes precedence.
+func TestMemoryLimit(t *testing.T) {
 	for name, row := range map[string]struct {
 		megabytes float64
 		variable  string
 		want      int64
 	}{
-		"small machine":     {112, "", 78 << 20},
-		"large machine":     {536, "", 375 << 20},
-		"not told":          {0, "", math.MaxInt64},
-		"variable is given": {112, "64MiB", math.MaxInt64}, // as the runtime has read it
+		"small machine":   {112, "", 78 << 20},
+		"large machine":   {536, "", 375 << 20},
+		"not configured":  {0, "", math.MaxInt64},
+		"variable is set": {112, "64MiB", math.MaxInt64}, // the runtime reads it at its start only
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			if row.variable != "" {
-				t.Setenv(variableMemoryLimit, row.variable)
+				t.Setenv(memoryLimitVariable, row.variable)
 			}
 			before := debug.SetMemoryLimit(math.MaxInt64)
 			defer debug.SetMemoryLimit(before)
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -22,7 +22,8 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// argumentsVariable makes the test binary run winchhead with these arguments.
+// argumentsVariable is the environment variable with the arguments of winchhead. If it
+// is set, the test binary runs winchhead instead of the tests.
 const argumentsVariable = "WINCHHEAD_TEST_ARGUMENTS"
 
 func TestMain(m *testing.M) {
@@ -32,10 +33,10 @@
 	os.Exit(m.Run())
 }
 
-// logLine is what the test reads of the node's log.
+// logLine holds the fields that the test reads from a line of the node's log.
 type logLine struct{ Message, Outbound, Admin string }
 
-// nodeProcess is a node beside a back end that holds its answers.
+// nodeProcess is a node beside a back end that responds only once hold is closed.
 type nodeProcess struct {
 	command *exec.Cmd
 	log     *bufio.Scanner
@@ -73,7 +74,7 @@
 	return node
 }
 
-// awaitLog returns the next line with that message.
+// awaitLog returns the next line with the given message.
 func (n *nodeProcess) awaitLog(c *qt.C, message string) logLine {
 	for n.log.Scan() {
 		line := struct{ Msg, Outbound, Admin string }{}
@@ -86,12 +87,12 @@
 	return logLine{}
 }
 
-// awaitInstance returns once the node sees its own instance take work.
+// awaitInstance waits until the node sees its own instance accept requests.
 func (n *nodeProcess) awaitInstance(c *qt.C) {
 	const pollInterval = 5 * time.Millisecond
 	client := admin.NewClient(n.started.Admin)
 	for {
-		explanation, err := client.Explain(c.Context(), admin.Question{Method: http.MethodPost, Path: "/"})
+		explanation, err := client.Explain(c.Context(), admin.ExplainRequest{Method: http.MethodPost, Path: "/"})
 		if err == nil && len(explanation.Targets) > 0 && len(explanation.Targets[0].Instances) > 0 {
 			return
 		}
@@ -99,7 +100,8 @@
 	}
 }
 
-// post sends a request that may not be repeated and returns what came back.
+// post sends a request that may not be repeated. It returns the body of the response, or
+// "cut" if the connection broke.
 func (n *nodeProcess) post() string {
 	response, err := http.Post("http://"+n.started.Outbound+"/", "text/plain", nil)
 	if err != nil {
@@ -113,7 +115,7 @@
 	return string(body)
 }
 
-func TestSignalsStopANode(t *testing.T) {
+func TestSignalsStopNode(t *testing.T) {
 	rows := []struct {
 		name   string
 		twice  bool
@@ -121,7 +123,7 @@
 		answer string
 	}{
 		{"one signal lets the request finish", false, ExitOK, "whole answer"},
-		{"a second signal ends it at once", true, ExitCutShort, "cut"},
+		{"a second signal ends the node at once", true, ExitCutShort, "cut"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -139,7 +141,7 @@
 				close(node.hold)
 			}
 			c.Assert(<-answered, qt.Equals, row.answer)
-			for node.log.Scan() { // up to the end of the process
+			for node.log.Scan() { // read until the process ends
 			}
 			var exit *exec.ExitError
 			if err := node.command.Wait(); err != nil && !errors.As(err, &exit) {
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -8,17 +8,17 @@
 	"text/tabwriter"
 )
 
-// outputFlags picks the form of a command's output.
+// outputFlags selects the format of a command's output.
 type outputFlags struct {
 	Output string `long:"output" choice:"text" choice:"json" default:"text" description:"form of the output"`
 }
 
-// adminFlags names the node that a command asks.
+// adminFlags selects the node that a command queries.
 type adminFlags struct {
 	Admin string `long:"admin" value-name:"IP:PORT" default:"127.0.0.1:7900" description:"operators' HTTP of the node to ask (its admin.listen)"`
 }
 
-// print writes value as JSON, or calls text to write it for people.
+// print writes value as JSON, or calls text to write it as text.
 func (o outputFlags) print(out io.Writer, value any, text func(out io.Writer)) error {
 	if o.Output == "json" {
 		encoder := json.NewEncoder(out)
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// table writes rows in aligned columns.
+// table writes rows in aligned columns. Empty cells are shown as "-".
 type table struct{ writer *tabwriter.Writer }
 
 const columnPadding = 2
--- a/internal/cli/progress.go
+++ b/internal/cli/progress.go
@@ -7,7 +7,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// progress tells how far a revision has come in a fleet.
+// progress is the progress of a revision in a fleet.
 type progress string
 
 // The values of progress.
@@ -17,7 +17,7 @@
 	progressRefused progress = "refused"  // refused, and in force nowhere
 )
 
-// exitCode returns the exit code that tells of the progress.
+// exitCode returns the exit code for the progress.
 func (p progress) exitCode() int {
 	switch p {
 	case progressInForce:
@@ -29,7 +29,7 @@
 	}
 }
 
-// revisionReport tells which members hold a revision, and why others don't.
+// revisionReport states how many members hold a revision, and why others don't.
 type revisionReport struct {
 	Revision snapshot.Revision `json:"revision"`
 	Progress progress          `json:"progress"`
@@ -44,7 +44,7 @@
 	Why   string           `json:"why"`
 }
 
-// assess tells how far revision has come. A member that holds a higher revision
+// assess determines the progress of a revision. A member that holds a higher revision
 // counts as holding it, unless it keeps a newer configuration than that revision has.
 func assess(fleet admin.FleetStatus, revision snapshot.Revision) revisionReport {
 	assessed := revisionReport{Revision: revision, Progress: progressPending, Missing: []missingMember{}}
@@ -57,7 +57,7 @@
 		missing := missingMember{Node: string(member.Node), Why: "gave no answer: " + member.Error}
 		if member.Status != nil {
 			missing.Holds = member.Status.Held
-			missing.Why = whyMissing(*member.Status, revision)
+			missing.Why = missingReason(*member.Status, revision)
 			refused = refused || refuses(*member.Status, revision)
 		}
 		assessed.Missing = append(assessed.Missing, missing)
@@ -71,14 +71,14 @@
 	return assessed
 }
 
-// holds reports whether a member that has a revision in force has this one in force.
+// holds reports whether a member on which held is in force counts as holding revision.
 func holds(held, revision snapshot.Revision) bool { return held >= revision && !held.IsKeeping() }
 
 func refuses(status admin.NodeStatus, revision snapshot.Revision) bool {
 	return status.Refused != nil && status.Refused.Version.Revision == revision
 }
 
-func whyMissing(status admin.NodeStatus, revision snapshot.Revision) string {
+func missingReason(status admin.NodeStatus, revision snapshot.Revision) string {
 	switch {
 	case refuses(status, revision):
 		return "refused it: " + status.Refused.Reason
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -14,100 +14,102 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// settingsInterval is the time between two looks at the settings file, for changes
-// that no signal tells of.
-const settingsInterval = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for changes
+// that are not announced by SIGHUP.
+const settingsPollInterval = 2 * time.Second
 
-// changeable are the keys, or sections ending in a dot, that a running node takes
-// over; others need a restart.
-var changeable = []string{"log.level", "retries."}
+// reloadableKeys are the keys, or sections ending in a dot, whose changes a running node
+// applies; others need a restart.
+var reloadableKeys = []string{"log.level", "retries."}
 
-// reloader reads the settings again at SIGHUP and when their file changes.
+// reloader reloads the settings on SIGHUP and when their file changes.
 type reloader struct {
-	flags  *settingsFlags
-	held   *settings.Loaded
-	seen   os.FileInfo
-	logger logrus.FieldLogger
-	apply  func(next *settings.Loaded)
+	flags    *settingsFlags
+	current  *settings.Loaded
+	lastInfo os.FileInfo
+	logger   logrus.FieldLogger
+	apply    func(next *settings.Loaded)
 }
 
-func newReloader(flags *settingsFlags, held *settings.Loaded, logger logrus.FieldLogger) *reloader {
-	created := &reloader{flags: flags, held: held, logger: logger, apply: func(*settings.Loaded) {}}
-	created.changed()
+func newReloader(flags *settingsFlags, current *settings.Loaded, logger logrus.FieldLogger) *reloader {
+	created := &reloader{flags: flags, current: current, logger: logger, apply: func(*settings.Loaded) {}}
+	created.fileChanged()
 	return created
 }
 
-// catchHangups makes SIGHUP a message: from now on it no longer ends the process.
-func catchHangups() chan os.Signal {
+// catchSIGHUP delivers SIGHUP to the returned channel, so that it no longer ends the
+// process.
+func catchSIGHUP() chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// run reloads until the context ends.
+// run reloads the settings when necessary, until the context ends.
 func (r *reloader) run(ctx context.Context, hangups <-chan os.Signal) {
-	ticker := time.NewTicker(settingsInterval)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			r.changed()
+			r.fileChanged()
 			r.reload("SIGHUP")
 		case <-ticker.C:
-			if r.changed() {
+			if r.fileChanged() {
 				r.reload("the file changed")
 			}
 		}
 	}
 }
 
-// changed reports whether the file is another one than when it was last asked.
-func (r *reloader) changed() bool {
+// fileChanged reports whether the settings file changed since the last call.
+func (r *reloader) fileChanged() bool {
 	if r.flags.File == "" {
 		return false
 	}
 	now, err := os.Stat(r.flags.File)
 	if err != nil {
-		return false // as while it is being replaced
+		return false // the file may be missing while it is being replaced
 	}
-	before := r.seen
-	r.seen = now
+	before := r.lastInfo
+	r.lastInfo = now
 	return before != nil && (!now.ModTime().Equal(before.ModTime()) || now.Size() != before.Size())
 }
 
-// reload takes the settings over. Those that cannot be read change nothing.
+// reload reads and applies the settings. If they are invalid, the current ones remain.
 func (r *reloader) reload(cause string) {
 	logger := r.logger.WithField("cause", cause)
 	next, err := r.flags.load()
 	if err != nil {
-		logger.WithError(err).Error("settings not reloaded, the former stay")
+		logger.WithError(err).Error("could not reload the settings, keeping the current ones")
 		return
 	}
-	applied, later := difference(r.held, next)
-	r.held = next
+	applied, needRestart := changedKeys(r.current, next)
+	r.current = next
 	r.apply(next)
-	logger.WithField("applied", strings.Join(applied, ",")).WithField("needs_restart", strings.Join(later, ",")).Info("settings reloaded")
+	logger.WithField("applied", strings.Join(applied, ",")).WithField("needs_restart", strings.Join(needRestart, ",")).Info("settings reloaded")
 }
 
-// difference returns the keys that changed, by whether a running node takes them.
-func difference(held, next *settings.Loaded) (applied, later []string) {
+// changedKeys returns the keys that changed: those that a running node applies and those
+// that need a restart.
+func changedKeys(current, next *settings.Loaded) (applied, needRestart []string) {
 	for _, field := range settings.Fields() {
-		if field.Text(&held.Settings) == field.Text(&next.Settings) {
+		if field.Text(&current.Settings) == field.Text(&next.Settings) {
 			continue
 		}
-		if slices.ContainsFunc(changeable, func(key string) bool { return strings.HasPrefix(field.Key, key) }) {
+		if slices.ContainsFunc(reloadableKeys, func(key string) bool { return strings.HasPrefix(field.Key, key) }) {
 			applied = append(applied, field.Key)
 		} else {
-			later = append(later, field.Key)
+			needRestart = append(needRestart, field.Key)
 		}
 	}
-	return applied, later
+	return applied, needRestart
 }
 
-// levelOf returns the log level of checked settings.
-func levelOf(configured settings.Settings) logrus.Level {
+// logLevel returns the log level of settings that were checked.
+func logLevel(configured settings.Settings) logrus.Level {
 	level, err := logrus.ParseLevel(configured.Log.Level)
 	if err != nil {
 		return logrus.InfoLevel
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -19,8 +19,8 @@
 retries: {ratio: RATIO}
 `
 
-// TestReload: a changed file is taken over, as far as a running node can; a file
-// that cannot be read changes nothing.
+// TestReload checks that a changed file is noticed once and applied, and that an invalid
+// file changes nothing.
 func TestReload(t *testing.T) {
 	c := qt.New(t)
 	file := filepath.Join(c.TempDir(), "settings.yaml")
@@ -33,29 +33,29 @@
 	flags := &settingsFlags{File: file}
 	loaded, err := flags.load()
 	c.Assert(err, qt.IsNil)
-	var taken []float64
+	var ratios []float64
 	r := newReloader(flags, loaded, logging.Discard())
-	r.apply = func(next *settings.Loaded) { taken = append(taken, next.Retries.Ratio) }
+	r.apply = func(next *settings.Loaded) { ratios = append(ratios, next.Retries.Ratio) }
 
-	c.Check(r.changed(), qt.IsFalse)
+	c.Check(r.fileChanged(), qt.IsFalse)
 	write(strings.Replace(reloadFile, "RATIO", "0.3", 1), start.Add(time.Second))
-	c.Check(r.changed(), qt.IsTrue)
-	c.Check(r.changed(), qt.IsFalse)
+	c.Check(r.fileChanged(), qt.IsTrue)
+	c.Check(r.fileChanged(), qt.IsFalse)
 	r.reload("a test")
-	c.Check(taken, qt.DeepEquals, []float64{0.3})
+	c.Check(ratios, qt.DeepEquals, []float64{0.3})
 
 	write("nonsense: [", start.Add(2*time.Second))
 	r.reload("a test")
-	c.Check(taken, qt.DeepEquals, []float64{0.3})
-	c.Check(r.held.Retries.Ratio, qt.Equals, 0.3)
+	c.Check(ratios, qt.DeepEquals, []float64{0.3})
+	c.Check(r.current.Retries.Ratio, qt.Equals, 0.3)
 }
 
-func TestDifferenceTellsWhatNeedsARestart(t *testing.T) {
+func TestChangedKeys(t *testing.T) {
 	c := qt.New(t)
-	held := &settings.Loaded{Settings: settings.Defaults()}
+	current := &settings.Loaded{Settings: settings.Defaults()}
 	next := &settings.Loaded{Settings: settings.Defaults()}
 	next.Retries.Slack, next.Log.Level, next.Inbound.Slots = 1, "debug", 1
-	applied, later := difference(held, next)
+	applied, needRestart := changedKeys(current, next)
 	c.Check(applied, qt.DeepEquals, []string{"retries.slack", "log.level"})
-	c.Check(later, qt.DeepEquals, []string{"inbound.slots"})
+	c.Check(needRestart, qt.DeepEquals, []string{"inbound.slots"})
 }
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -15,7 +15,7 @@
 // settingsFlags are the settings file and one flag for each key.
 type settingsFlags struct {
 	File string              `long:"settings" env:"WINCHHEAD_SETTINGS" value-name:"FILE" description:"settings file (YAML)"`
-	keys map[string]**string // by dotted key; the inner pointer is nil for a flag not given
+	keys map[string]**string // by dotted key; the inner pointer is nil if the flag is not set
 }
 
 func (s *settingsFlags) load() (*settings.Loaded, error) {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// newFlagGroup builds the struct that describes flags to go-flags, with one
-// optional string for each field, and enters the values into keys.
+// newFlagGroup builds the struct from which go-flags reads the flags, with one optional
+// string for each field, and stores pointers to these strings in keys.
 func newFlagGroup(fields []settings.Field, keys map[string]**string) any {
 	var members []reflect.StructField
 	for i, field := range fields {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	if code := answer.Newest.Progress.exitCode(); code != ExitOK {
-		return &result{code: code}
+		return &exitError{code: code}
 	}
 	return nil
 }
@@ -49,28 +49,28 @@
 			continue
 		}
 		status := *member.Status
-		lines.row(string(status.Node), status.Zone, status.State, shownVersion(status.Held),
-			strconv.FormatUint(status.Generation, 10), yesOrNo(status.Reader), sourceAge(status), remark(status))
+		lines.row(string(status.Node), status.Zone, status.State, formatVersion(status.Held),
+			strconv.FormatUint(status.Generation, 10), yesOrNo(status.Reader), formatSourceAge(status), formatRemarks(status))
 	}
 	lines.flush()
 	_, _ = fmt.Fprintf(out, "\nRevision %s is %s: %d of %d live members hold it.\n",
 		a.Newest.Revision, a.Newest.Progress, a.Newest.Holding, len(a.Members))
 	if a.Restore != nil {
-		_, _ = fmt.Fprintln(out, restoreLine(*a.Restore))
+		_, _ = fmt.Fprintln(out, describeRestore(*a.Restore))
 	}
 }
 
-// restoreLine tells what the asked node knows of the last restore of the source.
-func restoreLine(restore admin.Restore) string {
-	line := fmt.Sprintf("The source was restored from a copy %s ago: from %s to %s.", restore.Age, restore.From, restore.To)
+// describeRestore describes the last restore of the source that the queried node has seen.
+func describeRestore(restore admin.Restore) string {
+	line := fmt.Sprintf("The source was restored from a backup %s ago: from %s to %s.", restore.Age, restore.From, restore.To)
 	if restore.Retained > 0 {
-		line += fmt.Sprintf(" %d statements about instances and evacuations are kept against it, for %s more at most.", restore.Retained, restore.RetainedFor)
+		line += fmt.Sprintf(" %d statements about instances and evacuations are retained in place of the backup's, for %s more at most.", restore.Retained, restore.RetainedFor)
 	}
 	return line
 }
 
-// shownVersion names a version in a table.
-func shownVersion(version snapshot.Version) string {
+// formatVersion formats a version for a table.
+func formatVersion(version snapshot.Version) string {
 	if version.IsZero() {
 		return "none"
 	}
@@ -84,14 +84,14 @@
 	return "no"
 }
 
-func sourceAge(status admin.NodeStatus) string {
+func formatSourceAge(status admin.NodeStatus) string {
 	if status.SourceAge < 0 {
 		return "never"
 	}
 	return status.SourceAge.String()
 }
 
-func remark(status admin.NodeStatus) string {
+func formatRemarks(status admin.NodeStatus) string {
 	var remarks []string
 	if status.Refused != nil {
 		remarks = append(remarks, fmt.Sprintf("refused %s: %s", status.Refused.Version, status.Refused.Reason))
--- a/internal/cli/suspects.go
+++ b/internal/cli/suspects.go
@@ -20,7 +20,7 @@
 // suspectsAnswer is the output of suspects.
 type suspectsAnswer struct{ admin.SuspectList }
 
-// Execute prints the suspects, after it cleared one if asked to.
+// Execute prints the suspects, after clearing one if --clear is set.
 func (c *suspectsCommand) Execute([]string) error {
 	client := admin.NewClient(c.Admin)
 	list, err := client.Suspects(c.ctx)
@@ -36,12 +36,12 @@
 
 func (a suspectsAnswer) write(out io.Writer) {
 	lines := newTable(out, "FINGERPRINT", "STANDING", "CRASHES", "UNDER PROBE", "REFUSED UNTIL")
-	for _, each := range a.Suspects {
+	for _, suspect := range a.Suspects {
 		until := ""
-		if !each.RefusedUntil.IsZero() {
-			until = each.RefusedUntil.UTC().Format(time.RFC3339)
+		if !suspect.RefusedUntil.IsZero() {
+			until = suspect.RefusedUntil.UTC().Format(time.RFC3339)
 		}
-		lines.row(each.Fingerprint, each.Standing, strconv.Itoa(each.Crashes), strconv.Itoa(each.Probes), until)
+		lines.row(suspect.Fingerprint, suspect.Standing, strconv.Itoa(suspect.Crashes), strconv.Itoa(suspect.Probes), until)
 	}
 	lines.flush()
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -25,7 +25,7 @@
 func (c *traceCommand) Execute([]string) error {
 	logs, closeLogs, err := openLogs(c.Arguments.Logs)
 	if err != nil {
-		return &result{code: ExitUsage, message: err.Error()}
+		return &exitError{code: ExitUsage, message: err.Error()}
 	}
 	defer closeLogs()
 	trace, err := requesttrace.Read(logs, c.Arguments.Request)
@@ -36,13 +36,13 @@
 		return err
 	}
 	if len(trace.Lines) == 0 {
-		return &result{code: ExitRefused, message: "the logs hold no line of request " + c.Arguments.Request +
-			": look for its caller's time in the logs of the node beside it, lines about requests are bounded (omitted)"}
+		return &exitError{code: ExitRefused, message: "the logs contain no line of request " + c.Arguments.Request +
+			": nodes limit the log lines about requests (see the field omitted), so look in the log of the caller's sidecar around the time of the request"}
 	}
 	return nil
 }
 
-// openLogs joins the files, or takes standard input.
+// openLogs opens the files as one stream, or standard input if there are none.
 func openLogs(names []string) (logs io.Reader, closeAll func(), err error) {
 	if len(names) == 0 {
 		return os.Stdin, func() {}, nil
@@ -50,7 +50,7 @@
 	var files []*os.File
 	closeAll = func() {
 		for _, file := range files {
-			_ = file.Close() // it was only read
+			_ = file.Close() // the file was only read
 		}
 	}
 	var readers []io.Reader
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -13,7 +13,7 @@
 	outputFlags
 }
 
-// build describes the program.
+// build describes the build of the program.
 type build struct {
 	Version  string `json:"version"`
 	Commit   string `json:"commit,omitempty"`
@@ -21,7 +21,7 @@
 	Protocol int    `json:"protocol"`
 }
 
-// Execute prints the build.
+// Execute prints the version, the commit and the protocol of the program.
 func (c *versionCommand) Execute([]string) error {
 	shown := currentBuild()
 	return c.print(c.stdout, shown, func(out io.Writer) {
--- a/internal/cli/watch.go
+++ b/internal/cli/watch.go
@@ -13,7 +13,7 @@
 
 const watchHelp = `Waits until a revision, or a later one, is in force on every live member, and otherwise says which members don't hold it and why. Exit codes: 0 in force everywhere, 1 refused, 3 the node gave no answer, 4 the time was over first.`
 
-// watchInterval is the time between two questions to the fleet.
+// watchInterval is the time between two queries of the fleet.
 const watchInterval = 500 * time.Millisecond
 
 type watchCommand struct {
@@ -24,7 +24,7 @@
 	Timeout  time.Duration `long:"timeout" value-name:"TIME" default:"30s" description:"longest time to wait"`
 }
 
-// revisionFlag is a revision as the platform numbered it.
+// revisionFlag is a revision as the platform numbered it, with or without an epoch.
 type revisionFlag struct{ revision snapshot.Revision }
 
 // UnmarshalFlag implements flags.Unmarshaler.
@@ -33,15 +33,15 @@
 	return err
 }
 
-// in returns the revision in the epoch of another, if it names none.
-func (f revisionFlag) in(newest snapshot.Revision) snapshot.Revision {
+// inEpochOf returns the revision, in the epoch of newest if it names none itself.
+func (f revisionFlag) inEpochOf(newest snapshot.Revision) snapshot.Revision {
 	if f.revision.Epoch() > 0 {
 		return f.revision
 	}
 	return snapshot.NewRevision(newest.Epoch(), f.revision.Number())
 }
 
-// Execute waits for the revision.
+// Execute waits until the revision is in force or refused, or the timeout expires.
 func (c *watchCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(c.ctx, c.Timeout)
 	defer cancel()
@@ -53,26 +53,25 @@
 		return err
 	}
 	if code := last.Progress.exitCode(); code != ExitOK {
-		return &result{code: code}
+		return &exitError{code: code}
 	}
 	return nil
 }
 
-// wait asks until the progress is final or ctx ends. A node that has answered
-// once may fail to answer later, as when it is restarted; the first question
-// must succeed.
+// wait queries the node until the progress is final or ctx ends. The first query must
+// succeed; later ones may fail, for example while the node restarts.
 func (c *watchCommand) wait(ctx context.Context, client *admin.Client) (revisionReport, error) {
 	var last revisionReport
-	answered := false
+	hasAnswer := false
 	for {
 		fleet, err := client.Fleet(ctx)
 		var unreachable *admin.UnreachableError
 		switch {
 		case err == nil:
-			next := assess(fleet, c.Revision.in(newestRevision(fleet)))
+			next := assess(fleet, c.Revision.inEpochOf(newestRevision(fleet)))
 			c.showProgress(last, next)
-			last, answered = next, true
-		case !answered || !errors.As(err, &unreachable):
+			last, hasAnswer = next, true
+		case !hasAnswer || !errors.As(err, &unreachable):
 			return last, err
 		}
 		if last.Progress != progressPending {
@@ -99,14 +98,14 @@
 		_, _ = fmt.Fprintf(out, "Revision %s is in force on all %d live members.\n", r.Revision, r.Holding)
 		return
 	case progressRefused:
-		_, _ = fmt.Fprintf(out, "Revision %s was refused and is in force nowhere. Mend it and submit a new revision.\n", r.Revision)
+		_, _ = fmt.Fprintf(out, "Revision %s was refused and is in force nowhere. Fix it and submit a new revision.\n", r.Revision)
 	default:
 		_, _ = fmt.Fprintf(out, "Revision %s is not in force everywhere: %d of %d live members hold it.\n",
 			r.Revision, r.Holding, r.Holding+len(r.Missing))
 	}
 	lines := newTable(out, "NODE", "HOLDS", "WHY")
 	for _, member := range r.Missing {
-		lines.row(member.Node, shownVersion(member.Holds), member.Why)
+		lines.row(member.Node, formatVersion(member.Holds), member.Why)
 	}
 	lines.flush()
 }
