--- a/internal/clock/boot_linux.go
+++ b/internal/clock/boot_linux.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceBoot reads CLOCK_BOOTTIME.
+// sinceBoot returns the time since boot, suspensions included (CLOCK_BOOTTIME).
 func sinceBoot() (time.Duration, bool) {
-	var read unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
-		return 0, false // an old kernel: suspensions are not counted
+	var boottime unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boottime); err != nil {
+		return 0, false // an old kernel without CLOCK_BOOTTIME: suspensions are not counted
 	}
-	return time.Duration(read.Nano()), true
+	return time.Duration(boottime.Nano()), true
 }
--- a/internal/clock/boot_other.go
+++ b/internal/clock/boot_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// sinceBoot: systems other than Linux have no such clock here; suspensions are not counted.
+// sinceBoot reports that there is no boot clock: suspensions are counted only on Linux.
 func sinceBoot() (time.Duration, bool) { return 0, false }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock tells a time that goes on while the machine is suspended and that does not
-// jump with the time of day: ages and windows that are counted in it are true after a
-// suspension. Go's own steady clock stands still meanwhile.
+// Package clock provides a clock that advances while the machine is suspended and that does
+// not jump when the wall clock is set, so that ages and time windows remain correct after a
+// suspension. Go's monotonic clock stops during a suspension.
 package clock
 
 import (
@@ -8,84 +8,86 @@
 	"time"
 )
 
-// mostDrift is how far the time of day may move against the steady clock before it is looked
-// up whether the machine was suspended. The look takes a system call, the rest of Now none.
-const mostDrift = 10 * time.Millisecond
+// maxDrift is how far the wall clock may move against the monotonic clock before Now checks
+// whether the machine was suspended. Only that check needs a system call.
+const maxDrift = 10 * time.Millisecond
 
-// readings are what a Clock is made from.
-type readings struct {
-	// now reads the time of day and a steady clock, together.
-	now func() (day time.Time, steady time.Duration)
-	// sinceBoot reads a steady clock that counts suspensions; false: there is none.
+// clockSources are the system clocks that a Clock reads.
+type clockSources struct {
+	// now reads the wall clock and a monotonic clock at the same moment.
+	now func() (wall time.Time, monotonic time.Duration)
+	// sinceBoot reads a monotonic clock that includes suspensions; false: there is none.
 	sinceBoot func() (time.Duration, bool)
 }
 
-// Clock is safe for concurrent use.
+// Clock is monotonic and includes suspensions. It is safe for concurrent use.
 type Clock struct {
-	readings readings
-	// The three were read together at the start.
-	day    time.Time
-	steady time.Duration
-	boot   time.Duration
-	// seen is what was found at the last look.
-	seen atomic.Pointer[look]
+	sources clockSources
+	// startWall, startMonotonic and startBoot were read together when the Clock was created.
+	startWall      time.Time
+	startMonotonic time.Duration
+	startBoot      time.Duration
+	// last is the latest comparison.
+	last atomic.Pointer[comparison]
 }
 
-// look is a comparison of the clocks.
-type look struct {
-	// ahead is how far the time of day was ahead of the steady clock since the start.
-	ahead time.Duration
-	// suspended is how long the machine was suspended since the start.
+// comparison is what a comparison of the clocks found.
+type comparison struct {
+	// wallLead is how much further than the monotonic clock the wall clock has advanced since
+	// the start.
+	wallLead time.Duration
+	// suspended is how long the machine has been suspended since the start.
 	suspended time.Duration
 }
 
-// started is where the steady clock of this process begins.
-var started = time.Now()
+// processStart is the zero point of the monotonic clock of this process.
+var processStart = time.Now()
 
-var system = newClock(readings{now: readSystem, sinceBoot: sinceBoot})
+var systemClock = newClock(clockSources{now: readSystemClocks, sinceBoot: sinceBoot})
 
-func readSystem() (day time.Time, steady time.Duration) {
+func readSystemClocks() (wall time.Time, monotonic time.Duration) {
 	now := time.Now()
-	return now.Round(0), now.Sub(started) // Round takes the reading of the steady clock off
+	return now.Round(0), now.Sub(processStart) // Round strips the monotonic reading
 }
 
-// Now returns the time. Differences to other times of this package are true; it differs from
-// the time of day by what that has jumped since the process started.
-func Now() time.Time { return system.Now() }
+// Now returns the current time. Differences between times of this package are correct; the
+// time differs from the wall clock by as much as that was set since the process started.
+func Now() time.Time { return systemClock.Now() }
 
-// Since returns how long ago a time of this package was.
+// Since returns the time elapsed since earlier, a time of this package.
 func Since(earlier time.Time) time.Duration { return Now().Sub(earlier) }
 
-// Until returns how far ahead a time of this package is.
+// Until returns the time left until later, a time of this package.
 func Until(later time.Time) time.Duration { return later.Sub(Now()) }
 
-func newClock(from readings) *Clock {
-	created := &Clock{readings: from}
-	created.day, created.steady = from.now()
-	created.boot, _ = from.sinceBoot()
-	created.seen.Store(&look{})
+func newClock(from clockSources) *Clock {
+	created := &Clock{sources: from}
+	created.startWall, created.startMonotonic = from.now()
+	created.startBoot, _ = from.sinceBoot()
+	created.last.Store(&comparison{})
 	return created
 }
 
-// Now is like the function of that name.
+// Now returns the current time, as the function Now does.
 func (c *Clock) Now() time.Time {
-	day, reading := c.readings.now()
-	steady := reading - c.steady
-	ahead := day.Sub(c.day) - steady
-	seen := c.seen.Load()
-	if drift := ahead - seen.ahead; drift > mostDrift || drift < -mostDrift {
-		seen = c.lookAt(ahead, steady)
+	wall, reading := c.sources.now()
+	monotonic := reading - c.startMonotonic
+	wallLead := wall.Sub(c.startWall) - monotonic
+	last := c.last.Load()
+	if drift := wallLead - last.wallLead; drift > maxDrift || drift < -maxDrift {
+		last = c.compare(wallLead, monotonic)
 	}
-	return c.day.Add(steady + seen.suspended)
+	return c.startWall.Add(monotonic + last.suspended)
 }
 
-// lookAt finds out whether the time of day moved as the machine was suspended, or was set.
-// Time never goes back: of two looks at once the longer suspension counts.
-func (c *Clock) lookAt(ahead, steady time.Duration) *look {
-	found := &look{ahead: ahead, suspended: c.seen.Load().suspended}
-	if boot, ok := c.readings.sinceBoot(); ok {
-		found.suspended = max(boot-c.boot-steady, found.suspended)
+// compare determines whether the wall clock moved because the machine was suspended or because
+// it was set. The suspended time never decreases, so that Now never goes back when two
+// goroutines compare at once.
+func (c *Clock) compare(wallLead, monotonic time.Duration) *comparison {
+	found := &comparison{wallLead: wallLead, suspended: c.last.Load().suspended}
+	if boot, ok := c.sources.sinceBoot(); ok {
+		found.suspended = max(boot-c.startBoot-monotonic, found.suspended)
 	}
-	c.seen.Store(found)
+	c.last.Store(found)
 	return found
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,59 +7,60 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestClock: suspensions count, jumps of the time of day do not, in any order of both; the
-// clock that counts suspensions is read only when the time of day has moved.
+// TestClock checks that suspensions count and settings of the wall clock do not, in any order
+// of both, and that the boot clock is read only after the wall clock has moved.
 func TestClock(t *testing.T) {
 	c := qt.New(t)
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	var steady, suspended, jumped time.Duration
-	looks := 0
-	tested := newClock(readings{
-		now:       func() (time.Time, time.Duration) { return start.Add(steady + suspended + jumped), steady },
-		sinceBoot: func() (time.Duration, bool) { looks++; return time.Hour + steady + suspended, true },
+	var monotonic, suspended, wallShift time.Duration
+	bootReads := 0
+	tested := newClock(clockSources{
+		now:       func() (time.Time, time.Duration) { return start.Add(monotonic + suspended + wallShift), monotonic },
+		sinceBoot: func() (time.Duration, bool) { bootReads++; return time.Hour + monotonic + suspended, true },
 	})
-	looks = 0
+	bootReads = 0
 	for _, step := range []struct {
-		name                       string
-		runs, isSuspended, isMoved time.Duration
-		looks                      int
+		name                          string
+		runs, suspendedFor, wallMoves time.Duration
+		bootReads                     int
 	}{
-		{name: "it runs", runs: time.Minute},
-		{name: "the time of day is set back", isMoved: -time.Hour, looks: 1},
-		{name: "the machine is suspended", isSuspended: 10 * time.Second, looks: 1},
-		{name: "the time of day is set forward", runs: time.Second, isMoved: 2 * time.Hour, looks: 1},
-		{name: "both at once, which hide each other", isSuspended: 5 * time.Second, isMoved: -5 * time.Second},
-		{name: "it is suspended again", isSuspended: time.Minute, looks: 1},
-		{name: "it runs on", runs: time.Second},
-		{name: "the time of day drifts", runs: time.Second, isMoved: time.Millisecond},
+		{name: "the machine runs", runs: time.Minute},
+		{name: "the wall clock is set back", wallMoves: -time.Hour, bootReads: 1},
+		{name: "the machine is suspended", suspendedFor: 10 * time.Second, bootReads: 1},
+		{name: "the wall clock is set forward", runs: time.Second, wallMoves: 2 * time.Hour, bootReads: 1},
+		{name: "a suspension and a setting that cancel each other", suspendedFor: 5 * time.Second, wallMoves: -5 * time.Second},
+		{name: "the machine is suspended again", suspendedFor: time.Minute, bootReads: 1},
+		{name: "the machine runs on", runs: time.Second},
+		{name: "the wall clock drifts", runs: time.Second, wallMoves: time.Millisecond},
 	} {
-		steady += step.runs
-		suspended += step.isSuspended
-		jumped += step.isMoved
-		looks = 0
+		monotonic += step.runs
+		suspended += step.suspendedFor
+		wallShift += step.wallMoves
+		bootReads = 0
 		got := tested.Now().Sub(start)
-		if step.name != "both at once, which hide each other" {
-			c.Check(got, qt.Equals, steady+suspended, qt.Commentf(step.name))
+		if step.name != "a suspension and a setting that cancel each other" {
+			c.Check(got, qt.Equals, monotonic+suspended, qt.Commentf(step.name))
 		}
-		c.Check(looks, qt.Equals, step.looks, qt.Commentf(step.name))
+		c.Check(bootReads, qt.Equals, step.bootReads, qt.Commentf(step.name))
 	}
 }
 
-// TestClockWithoutSuspensions: where no clock counts them, time goes on as the steady clock.
+// TestClockWithoutSuspensions checks that without a boot clock the time follows the monotonic
+// clock.
 func TestClockWithoutSuspensions(t *testing.T) {
 	c := qt.New(t)
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	steady, jumped := time.Duration(0), time.Hour
-	tested := newClock(readings{
-		now:       func() (time.Time, time.Duration) { return start.Add(steady + jumped), steady },
+	monotonic, wallShift := time.Duration(0), time.Hour
+	tested := newClock(clockSources{
+		now:       func() (time.Time, time.Duration) { return start.Add(monotonic + wallShift), monotonic },
 		sinceBoot: func() (time.Duration, bool) { return 0, false },
 	})
-	began := tested.Now()
-	steady, jumped = time.Minute, -time.Hour
-	c.Check(tested.Now().Sub(began), qt.Equals, time.Minute)
+	before := tested.Now()
+	monotonic, wallShift = time.Minute, -time.Hour
+	c.Check(tested.Now().Sub(before), qt.Equals, time.Minute)
 }
 
-// TestSystemClock: the clock of the process goes on.
+// TestSystemClock checks that the clock of the process does not go back.
 func TestSystemClock(t *testing.T) {
 	c := qt.New(t)
 	before := Now()
--- a/internal/socketbytes/socketbytes.go
+++ b/internal/socketbytes/socketbytes.go
@@ -1,5 +1,5 @@
-// Package socketbytes counts the bytes that cross connections, below any codec
-// or TLS, so that reports state what the network carried.
+// Package socketbytes counts the bytes read from and written to connections,
+// below any codec or TLS, so that reports state what the network carried.
 package socketbytes
 
 import (
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Counter counts bytes in both directions. The zero value is ready for use, by
-// several connections at once.
+// Counter counts bytes in both directions. The zero value is ready for use, and
+// several connections may share it.
 type Counter struct {
 	read, written atomic.Int64
 }
@@ -18,18 +18,19 @@
 	return c.read.Load(), c.written.Load()
 }
 
-// Take returns the bytes read and written since the last Take.
+// Take returns the bytes read and written since the last Take and resets the
+// counts to zero.
 func (c *Counter) Take() (read, written int64) {
 	return c.read.Swap(0), c.written.Swap(0)
 }
 
-// Conn is a connection whose bytes are counted.
+// Conn is a net.Conn that counts its bytes in a Counter.
 type Conn struct {
 	net.Conn
 	counter *Counter
 }
 
-// Wrap returns a connection that adds the bytes of inner to counter.
+// Wrap returns a connection that counts the bytes of inner in counter.
 func Wrap(inner net.Conn, counter *Counter) *Conn {
 	return &Conn{Conn: inner, counter: counter}
 }
@@ -44,8 +45,8 @@
 	return count, err
 }
 
-// Write implements net.Conn. It counts before it writes, as the answer may come
-// before the write returns, and then takes off what was not written.
+// Write implements net.Conn. It counts before it writes, because the answer may
+// arrive before the write returns, and then subtracts what was not written.
 func (c *Conn) Write(data []byte) (int, error) {
 	c.counter.written.Add(int64(len(data)))
 	count, err := c.Conn.Write(data)
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds up a goroutine for a while, or until its context ends.
+// Package wait blocks a goroutine for a duration, or until its context ends.
 package wait
 
 import (
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// For waits for span and returns nil, or returns ctx's error as soon as ctx has
-// ended. A span that is not positive is over at once.
-func For(ctx context.Context, span time.Duration) error {
+// For waits for duration and returns nil, or returns ctx's error as soon as ctx
+// has ended. It returns at once if duration is zero or negative.
+func For(ctx context.Context, duration time.Duration) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if span <= 0 {
+	if duration <= 0 {
 		return nil
 	}
-	timer := time.NewTimer(span)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
