--- a/internal/contentfile/contentfile.go
+++ b/internal/contentfile/contentfile.go
@@ -1,8 +1,8 @@
 // Package contentfile reads the content of a configuration from a YAML file and
 // the policy files that it names, for `winchhead check`, the examples and the
-// emulated platform. The product never reads it at run time.
+// emulated platform. Nodes never read content files at run time.
 //
-// A content file looks like this; revision may be left out and is then 1:
+// A content file looks like this; the revision is optional and defaults to 1:
 //
 //	revision: 1
 //	services:
@@ -30,13 +30,13 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// maxFileBytes bounds the content file itself.
+// maxFileBytes limits the size of the content file, without its policies.
 const maxFileBytes = 1 << 20
 
-// Error is what is wrong with a content file, and where.
+// Error describes a problem in a content file and where it is.
 type Error struct {
 	File string
-	// Line starts at 1; it is 0 when the fault concerns the whole file.
+	// Line starts at 1; it is 0 when the problem concerns the whole file.
 	Line    int
 	Problem string
 }
@@ -49,9 +49,9 @@
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem)
 }
 
-// LoadContent reads the content file at path and its policies. The result passes
-// snapshot.NewDocument; whether its policies compile is not checked. The error is
-// an *Error.
+// LoadContent reads the content file at path and its policies, and validates the
+// result with snapshot.NewDocument. It does not check whether the policies compile.
+// The error is an *Error.
 func LoadContent(path string) (snapshot.Content, error) {
 	text, err := readBounded(path, maxFileBytes)
 	if err != nil {
@@ -59,13 +59,13 @@
 	}
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
-		return snapshot.Content{}, syntaxFault(path, err)
+		return snapshot.Content{}, syntaxError(path, err)
 	}
 	if len(root.Content) == 0 {
-		return snapshot.Content{}, &Error{File: path, Line: 1, Problem: "the file is empty; it needs services: and policies:"}
+		return snapshot.Content{}, &Error{File: path, Line: 1, Problem: "the file is empty; expected services: and policies:"}
 	}
-	reader := &reader{file: path, content: snapshot.Content{Revision: 1}, seen: map[snapshot.Key]int{}}
-	if err := reader.document(root.Content[0]); err != nil {
+	reader := &reader{file: path, content: snapshot.Content{Revision: 1}, lines: map[snapshot.Key]int{}}
+	if err := reader.readDocument(root.Content[0]); err != nil {
 		return snapshot.Content{}, err
 	}
 	if _, err := snapshot.NewDocument(reader.content); err != nil {
@@ -95,103 +95,103 @@
 	return text, nil
 }
 
-// yamlLine finds the line in a message of the YAML library.
+// yamlLine finds the line number in an error message of the YAML library.
 var yamlLine = regexp.MustCompile(`line (\d+): (.*)`)
 
-func syntaxFault(path string, err error) *Error {
-	fault := &Error{File: path, Problem: err.Error()}
+func syntaxError(path string, err error) *Error {
+	parsed := &Error{File: path, Problem: err.Error()}
 	if found := yamlLine.FindStringSubmatch(err.Error()); found != nil {
-		fault.Line, _ = strconv.Atoi(found[1])
-		fault.Problem = "not YAML: " + found[2]
+		parsed.Line, _ = strconv.Atoi(found[1])
+		parsed.Problem = "invalid YAML: " + found[2]
 	}
-	return fault
+	return parsed
 }
 
-// reader collects the content of one file.
+// reader parses one content file.
 type reader struct {
 	file    string
 	content snapshot.Content
-	// seen tells in which line a resource was named.
-	seen map[snapshot.Key]int
+	// lines holds the line in which each resource was defined.
+	lines map[snapshot.Key]int
 }
 
-func (r *reader) fault(node *yaml.Node, format string, arguments ...any) error {
+func (r *reader) errorAt(node *yaml.Node, format string, arguments ...any) error {
 	return &Error{File: r.file, Line: node.Line, Problem: fmt.Sprintf(format, arguments...)}
 }
 
-func (r *reader) document(node *yaml.Node) error {
-	return r.mapping(node, fields{
-		"revision": r.revision,
-		"services": func(node *yaml.Node) error { return r.sequence(node, r.service) },
-		"policies": func(node *yaml.Node) error { return r.sequence(node, r.policy) },
-		"secrets":  func(node *yaml.Node) error { return r.sequence(node, r.secret) },
+func (r *reader) readDocument(node *yaml.Node) error {
+	return r.readMapping(node, fieldReaders{
+		"revision": r.readRevision,
+		"services": func(node *yaml.Node) error { return r.readSequence(node, r.readService) },
+		"policies": func(node *yaml.Node) error { return r.readSequence(node, r.readPolicy) },
+		"secrets":  func(node *yaml.Node) error { return r.readSequence(node, r.readSecret) },
 	})
 }
 
-func (r *reader) revision(node *yaml.Node) error {
+func (r *reader) readRevision(node *yaml.Node) error {
 	var revision uint64
-	if err := r.scalar(node, &revision, "a number from 1"); err != nil {
+	if err := r.readScalar(node, &revision, "a number of at least 1"); err != nil {
 		return err
 	}
 	if revision == 0 {
-		return r.fault(node, "revision is 0; revisions start at 1")
+		return r.errorAt(node, "revision is 0; revisions start at 1")
 	}
 	r.content.Revision = snapshot.Revision(revision)
 	return nil
 }
 
-func (r *reader) service(node *yaml.Node) error {
+func (r *reader) readService(node *yaml.Node) error {
 	var service snapshot.Service
-	err := r.mapping(node, fields{
-		"name":        func(node *yaml.Node) error { return r.scalar(node, &service.Name, "a string") },
-		"slots":       func(node *yaml.Node) error { return r.scalar(node, &service.Slots, "a number") },
-		"connections": func(node *yaml.Node) error { return r.scalar(node, &service.Connections, "a number") },
+	err := r.readMapping(node, fieldReaders{
+		"name":        func(node *yaml.Node) error { return r.readScalar(node, &service.Name, "a string") },
+		"slots":       func(node *yaml.Node) error { return r.readScalar(node, &service.Slots, "a number") },
+		"connections": func(node *yaml.Node) error { return r.readScalar(node, &service.Connections, "a number") },
 	})
 	if err != nil {
 		return err
 	}
 	r.content.Services = append(r.content.Services, service)
-	return r.claim(node, snapshot.Key{Kind: snapshot.KindService, Name: service.Name})
+	return r.register(node, snapshot.Key{Kind: snapshot.KindService, Name: service.Name})
 }
 
-func (r *reader) policy(node *yaml.Node) error {
+func (r *reader) readPolicy(node *yaml.Node) error {
 	var name string
-	if err := r.scalar(node, &name, "a file name"); err != nil {
+	if err := r.readScalar(node, &name, "a file name"); err != nil {
 		return err
 	}
 	if !filepath.IsLocal(name) {
-		return r.fault(node, "policy %q is not below the directory of this file", name)
+		return r.errorAt(node, "policy %q is not below the directory of the content file", name)
 	}
 	program, err := readBounded(filepath.Join(filepath.Dir(r.file), name), snapshot.MaxProgramBytes)
 	if err != nil {
-		return r.fault(node, "policy %q %s", name, err)
+		return r.errorAt(node, "policy %q %s", name, err)
 	}
 	policy := snapshot.Policy{Name: filepath.Base(name), Program: string(program)}
 	r.content.Policies = append(r.content.Policies, policy)
-	return r.claim(node, snapshot.Key{Kind: snapshot.KindPolicy, Name: policy.Name})
+	return r.register(node, snapshot.Key{Kind: snapshot.KindPolicy, Name: policy.Name})
 }
 
-func (r *reader) secret(node *yaml.Node) error {
+func (r *reader) readSecret(node *yaml.Node) error {
 	var secret snapshot.Secret
-	err := r.mapping(node, fields{
-		"name":  func(node *yaml.Node) error { return r.scalar(node, &secret.Name, "a string") },
-		"value": func(node *yaml.Node) error { return r.scalar(node, &secret.Value, "a string") },
+	err := r.readMapping(node, fieldReaders{
+		"name":  func(node *yaml.Node) error { return r.readScalar(node, &secret.Name, "a string") },
+		"value": func(node *yaml.Node) error { return r.readScalar(node, &secret.Value, "a string") },
 	})
 	if err != nil {
 		return err
 	}
 	r.content.Secrets = append(r.content.Secrets, secret)
-	return r.claim(node, snapshot.Key{Kind: snapshot.KindSecret, Name: secret.Name})
+	return r.register(node, snapshot.Key{Kind: snapshot.KindSecret, Name: secret.Name})
 }
 
-// claim refuses a resource without a name and one that was named before.
-func (r *reader) claim(node *yaml.Node, key snapshot.Key) error {
+// register records a resource. It rejects one without a name and a duplicate.
+func (r *reader) register(node *yaml.Node, key snapshot.Key) error {
 	if key.Name == "" {
-		return r.fault(node, "this %s has no name:", key.Kind)
+		return r.errorAt(node, "this %s has no name", key.Kind)
 	}
-	if line, taken := r.seen[key]; taken {
-		return r.fault(node, "%s is already in line %d", key, line)
+	if line, exists := r.lines[key]; exists {
+		return r.errorAt(node, "%s is already defined in line %d", key, line)
 	}
-	r.seen[key] = node.Line
+	r.lines[key] = node.Line
 	return nil
 }
--- a/internal/contentfile/nodes.go
+++ b/internal/contentfile/nodes.go
@@ -7,23 +7,23 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// fields are the keys that a mapping may have and what reads each value.
-type fields map[string]func(node *yaml.Node) error
+// fieldReaders holds the function that reads the value of each allowed key of a mapping.
+type fieldReaders map[string]func(node *yaml.Node) error
 
-// mapping reads each key of a mapping once and refuses unknown ones.
-func (r *reader) mapping(node *yaml.Node, known fields) error {
+// readMapping reads the values of a mapping. It rejects unknown and duplicate keys.
+func (r *reader) readMapping(node *yaml.Node, known fieldReaders) error {
 	if node.Kind != yaml.MappingNode {
-		return r.fault(node, "want keys and values: %s", strings.Join(known.names(), ", "))
+		return r.errorAt(node, "expected a mapping with the keys %s", strings.Join(known.names(), ", "))
 	}
 	seen := map[string]bool{}
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key, value := node.Content[i], node.Content[i+1]
 		read, ok := known[key.Value]
 		if !ok {
-			return r.fault(key, "unknown key %q; the keys here are %s", key.Value, strings.Join(known.names(), ", "))
+			return r.errorAt(key, "unknown key %q; allowed keys: %s", key.Value, strings.Join(known.names(), ", "))
 		}
 		if seen[key.Value] {
-			return r.fault(key, "key %q is there twice", key.Value)
+			return r.errorAt(key, "duplicate key %q", key.Value)
 		}
 		seen[key.Value] = true
 		if err := read(value); err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func (f fields) names() []string {
+func (f fieldReaders) names() []string {
 	var names []string
 	for name := range f {
 		names = append(names, name)
@@ -42,13 +42,13 @@
 	return names
 }
 
-// sequence reads each element of a list; an empty value is an empty list.
-func (r *reader) sequence(node *yaml.Node, read func(node *yaml.Node) error) error {
+// readSequence reads each element of a list; an empty value is an empty list.
+func (r *reader) readSequence(node *yaml.Node, read func(node *yaml.Node) error) error {
 	if node.Kind == yaml.ScalarNode && node.Tag == "!!null" {
 		return nil
 	}
 	if node.Kind != yaml.SequenceNode {
-		return r.fault(node, "want a list, each element after a dash")
+		return r.errorAt(node, "expected a list, each element after a dash")
 	}
 	for _, element := range node.Content {
 		if err := read(element); err != nil {
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// scalar decodes a single value. The error does not show it, as it may be a
-// secret.
-func (r *reader) scalar(node *yaml.Node, into any, wanted string) error {
+// readScalar decodes a single value. The error does not include the value, which
+// may be a secret.
+func (r *reader) readScalar(node *yaml.Node, into any, expected string) error {
 	if node.Kind != yaml.ScalarNode {
-		return r.fault(node, "want %s", wanted)
+		return r.errorAt(node, "expected %s", expected)
 	}
 	if err := node.Decode(into); err != nil {
-		return r.fault(node, "want %s", wanted)
+		return r.errorAt(node, "expected %s", expected)
 	}
 	return nil
 }
