--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,10 +1,11 @@
-// Package keys owns the TLS keys of connections between nodes: loading them from
-// the files named in the settings, the TLS configurations built from them, the
-// check of a peer's certificate and the reload when the files are replaced.
+// Package keys manages the TLS keys of connections between nodes. It loads them
+// from the files named in the settings, builds TLS configurations from them,
+// verifies the certificates of peers, and reloads the files when they are replaced.
 //
-// Nodes authenticate each other: TLS 1.3 only, the own authority only. Addresses
-// change hands, so a peer is known by its certificate's chain, validity and
-// usage, and not by a host name. A connection is checked once, when it begins.
+// Connections use mutual TLS 1.3 and trust only the configured authority. Host
+// names are not verified, because addresses are reused by other nodes: a peer is
+// accepted by its certificate's chain, validity and usage. A connection is
+// verified once, during its handshake.
 package keys
 
 import (
@@ -20,21 +21,21 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// ReloadInterval is the time between two looks at the files.
+// ReloadInterval is the time between two checks of the files.
 const ReloadInterval = 10 * time.Second
 
-// Keys hold the certificate, the private key and the authority in use. They are
-// safe for concurrent use. A nil *Keys stands for plain connections: its
-// configurations are nil.
+// Keys holds the certificate, the private key and the authority in use. It is
+// safe for concurrent use, except for Reload. A nil *Keys stands for connections
+// without TLS: its configurations are nil.
 type Keys struct {
-	files   settings.TLS
-	read    encoded // what the files held when they were last read, good or not
-	current atomic.Pointer[material]
+	files    settings.TLS
+	lastRead pemTexts // content of the files when they were last read, valid or not
+	current  atomic.Pointer[material]
 }
 
 // Load reads and checks the keys. It returns nil Keys and no error when no file
-// is set, and an error when some are missing, unreadable, do not belong together
-// or would be refused by peers.
+// is set, and an error when some files are missing or unreadable, when the
+// certificate and the key do not match, or when peers would reject the certificate.
 func Load(files settings.TLS) (*Keys, error) {
 	if files == (settings.TLS{}) {
 		return nil, nil
@@ -49,9 +50,9 @@
 	return k, nil
 }
 
-// FromPEM returns keys held in memory only, for simulated nodes.
+// FromPEM returns keys that are not read from files, for simulated nodes.
 func FromPEM(certificate, key, authority []byte) (*Keys, error) {
-	loaded, err := encoded{string(certificate), string(key), string(authority)}.parse(time.Now())
+	loaded, err := pemTexts{string(certificate), string(key), string(authority)}.parse(time.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -61,17 +62,17 @@
 }
 
 // Reload reads the files again and reports whether new keys are in use. On an
-// error the old ones stay. Content that was refused once is not tried again. It
-// must not be called by two goroutines at once.
+// error the old keys stay in use. Content that was rejected is not checked again
+// until the files change. Reload must not be called concurrently.
 func (k *Keys) Reload() (bool, error) {
 	found, err := readFiles(k.files)
 	if err != nil {
 		return false, err
 	}
-	if found == k.read {
+	if found == k.lastRead {
 		return false, nil
 	}
-	k.read = found
+	k.lastRead = found
 	loaded, err := found.parse(time.Now())
 	if err != nil {
 		return false, err
@@ -81,7 +82,7 @@
 }
 
 // Run reloads the keys when the files are replaced, until the context ends.
-// Connections that exist keep the keys they began with.
+// Existing connections keep the keys of their handshake.
 func (k *Keys) Run(ctx context.Context, logger logrus.FieldLogger) {
 	if k == nil || k.files == (settings.TLS{}) {
 		<-ctx.Done()
@@ -103,13 +104,13 @@
 	changed, err := k.Reload()
 	switch {
 	case err != nil:
-		logger.WithError(err).Error("cannot use the new keys, keeping the old ones")
+		logger.WithError(err).Error("cannot load the new TLS keys, keeping the current ones")
 	case changed:
-		logger.WithField("expires", k.Expires()).Info("new keys in use")
+		logger.WithField("expires", k.Expires()).Info("new TLS keys in use")
 	}
 }
 
-// Expires returns when the own certificate ends; zero for nil Keys.
+// Expires returns when the node's own certificate expires; zero for nil Keys.
 func (k *Keys) Expires() time.Time {
 	if k == nil {
 		return time.Time{}
@@ -117,8 +118,8 @@
 	return k.current.Load().certificate.Leaf.NotAfter
 }
 
-// ServerConfig returns the configuration for taking connections of other nodes,
-// or nil for plain ones. New handshakes use the keys then in use.
+// ServerConfig returns the configuration for accepting connections of other nodes,
+// or nil without TLS. Each handshake uses the keys in use at that moment.
 func (k *Keys) ServerConfig() *tls.Config {
 	if k == nil {
 		return nil
@@ -126,14 +127,14 @@
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		GetCertificate:         k.serverCertificate,
-		ClientAuth:             tls.RequireAnyClientCert, // checked by VerifyConnection
+		ClientAuth:             tls.RequireAnyClientCert, // verified by VerifyConnection
 		VerifyConnection:       k.verifyPeer,
-		SessionTicketsDisabled: true, // each connection shows its certificate
+		SessionTicketsDisabled: true, // every handshake presents the certificate
 	}
 }
 
 // ClientConfig returns the configuration for opening connections to other nodes,
-// or nil for plain ones. New handshakes use the keys then in use.
+// or nil without TLS. Each handshake uses the keys in use at that moment.
 func (k *Keys) ClientConfig() *tls.Config {
 	if k == nil {
 		return nil
@@ -141,13 +142,13 @@
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		GetClientCertificate: k.clientCertificate,
-		InsecureSkipVerify:   true, // host names are not checked; VerifyConnection checks the rest
+		InsecureSkipVerify:   true, // host names are not verified; VerifyConnection verifies the rest
 		VerifyConnection:     k.verifyPeer,
 	}
 }
 
-// NodeConfig returns one configuration for both directions, or nil for plain
-// connections.
+// NodeConfig returns one configuration for accepting and for opening connections,
+// or nil without TLS.
 func (k *Keys) NodeConfig() *tls.Config {
 	if k == nil {
 		return nil
@@ -171,18 +172,18 @@
 	return k.current.Load().verify(state.PeerCertificates, time.Now())
 }
 
-func readFiles(files settings.TLS) (encoded, error) {
+func readFiles(files settings.TLS) (pemTexts, error) {
 	certificate, err := os.ReadFile(files.CertificateFile)
 	if err != nil {
-		return encoded{}, eris.Wrap(err, "tls: certificate_file")
+		return pemTexts{}, eris.Wrap(err, "tls: certificate_file")
 	}
 	key, err := os.ReadFile(files.KeyFile)
 	if err != nil {
-		return encoded{}, eris.Wrap(err, "tls: key_file")
+		return pemTexts{}, eris.Wrap(err, "tls: key_file")
 	}
 	authority, err := os.ReadFile(files.AuthorityFile)
 	if err != nil {
-		return encoded{}, eris.Wrap(err, "tls: authority_file")
+		return pemTexts{}, eris.Wrap(err, "tls: authority_file")
 	}
-	return encoded{string(certificate), string(key), string(authority)}, nil
+	return pemTexts{string(certificate), string(key), string(authority)}, nil
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -20,7 +20,7 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// payload is what each side sends to a peer it accepts.
+// payload is what each side sends on an accepted connection.
 const payload = "for nodes only"
 
 func newAuthority(c *qt.C) *throwaway.Authority {
@@ -37,8 +37,8 @@
 	return k
 }
 
-// unchecked returns a configuration that shows a certificate and accepts any.
-func unchecked(c *qt.C, authority *throwaway.Authority, request throwaway.Request) *tls.Config {
+// permissiveConfig returns a configuration that presents a certificate and accepts any peer.
+func permissiveConfig(c *qt.C, authority *throwaway.Authority, request throwaway.Request) *tls.Config {
 	pair, err := authority.Issue(request)
 	c.Assert(err, qt.IsNil)
 	certificate, err := tls.X509KeyPair(pair.Certificate, pair.Key)
@@ -50,8 +50,8 @@
 	}
 }
 
-// wrap puts TLS on a connection; a nil configuration leaves it plain.
-func wrap(connection net.Conn, config *tls.Config, role func(net.Conn, *tls.Config) *tls.Conn) net.Conn {
+// wrapTLS adds TLS to a connection unless the configuration is nil.
+func wrapTLS(connection net.Conn, config *tls.Config, role func(net.Conn, *tls.Config) *tls.Conn) net.Conn {
 	if config == nil {
 		return connection
 	}
@@ -71,16 +71,16 @@
 			received <- err.Error()
 			return
 		}
-		received <- talk(wrap(connection, serverConfig, tls.Server))
+		received <- sendAndReceive(wrapTLS(connection, serverConfig, tls.Server))
 	}()
 	connection, err := net.Dial("tcp", listener.Addr().String())
 	c.Assert(err, qt.IsNil)
-	atClient = talk(wrap(connection, clientConfig, tls.Client))
+	atClient = sendAndReceive(wrapTLS(connection, clientConfig, tls.Client))
 	return <-received, atClient
 }
 
-// talk sends payload, then returns as much as the other end sent of it.
-func talk(connection net.Conn) string {
+// sendAndReceive sends payload, then returns what arrived of the other end's payload.
+func sendAndReceive(connection net.Conn) string {
 	defer connection.Close()
 	_, _ = io.WriteString(connection, payload)
 	received := make([]byte, len(payload))
@@ -88,19 +88,19 @@
 	return string(received[:count])
 }
 
-func TestOnlyNodesGetAnything(t *testing.T) {
+func TestOnlyNodesExchangeData(t *testing.T) {
 	c := qt.New(t)
 	authority := newAuthority(c)
-	stranger := newAuthority(c)
+	otherAuthority := newAuthority(c)
 	node := newKeys(c, authority)
-	good := throwaway.Request{Name: "node"}
+	valid := throwaway.Request{Name: "node"}
 	expired := throwaway.Request{Name: "node", NotAfter: time.Now().Add(-time.Minute)}
 	serverOnly := throwaway.Request{Name: "node", Usages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}
 	clientOnly := throwaway.Request{Name: "node", Usages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
 	noUsage := throwaway.Request{Name: "node", Usages: []x509.ExtKeyUsage{}}
-	older := unchecked(c, authority, good)
-	older.MaxVersion = tls.VersionTLS12
-	nameless := &tls.Config{InsecureSkipVerify: true}
+	tls12 := permissiveConfig(c, authority, valid)
+	tls12.MaxVersion = tls.VersionTLS12
+	noCertificate := &tls.Config{InsecureSkipVerify: true}
 
 	for _, test := range []struct {
 		name     string
@@ -108,49 +108,49 @@
 		accepted bool
 	}{
 		{"another node", newKeys(c, authority).NodeConfig(), true},
-		{"any certificate of the authority", unchecked(c, authority, good), true},
-		{"certificate of a stranger", unchecked(c, stranger, good), false},
-		{"node of a stranger", newKeys(c, stranger).NodeConfig(), false},
-		{"expired certificate", unchecked(c, authority, expired), false},
-		{"usage server only", unchecked(c, authority, serverOnly), false},
-		{"usage client only", unchecked(c, authority, clientOnly), false},
-		{"no usage", unchecked(c, authority, noUsage), false},
-		{"TLS 1.2", older, false},
+		{"any certificate of the authority", permissiveConfig(c, authority, valid), true},
+		{"certificate of another authority", permissiveConfig(c, otherAuthority, valid), false},
+		{"node of another authority", newKeys(c, otherAuthority).NodeConfig(), false},
+		{"expired certificate", permissiveConfig(c, authority, expired), false},
+		{"server usage only", permissiveConfig(c, authority, serverOnly), false},
+		{"client usage only", permissiveConfig(c, authority, clientOnly), false},
+		{"no usage", permissiveConfig(c, authority, noUsage), false},
+		{"TLS 1.2", tls12, false},
 		{"plain connection", nil, false},
-		{"no certificate", nameless, false},
+		{"no certificate", noCertificate, false},
 	} {
 		c.Run(test.name, func(c *qt.C) {
 			want := ""
 			if test.accepted {
 				want = payload
 			}
-			// What the node sends must not reach a stranger in either role, nor
-			// may the node take what a stranger sends.
+			// In either role, the node must neither send data to a peer that it
+			// rejects nor accept data from it.
 			atNode, atPeer := exchange(c, node.ServerConfig(), test.peer)
 			c.Check(atNode, qt.Equals, want)
-			c.Check(atPeerOf(atPeer), qt.Equals, want)
+			c.Check(payloadOnly(atPeer), qt.Equals, want)
 			if test.name == "no certificate" {
-				return // a server cannot be without one
+				return // a TLS server always has a certificate
 			}
 			atPeer, atNode = exchange(c, test.peer, node.ClientConfig())
 			c.Check(atNode, qt.Equals, want)
-			c.Check(atPeerOf(atPeer), qt.Equals, want)
+			c.Check(payloadOnly(atPeer), qt.Equals, want)
 		})
 	}
 }
 
-// atPeerOf drops a TLS record (alert or hello) that a plain peer reads as bytes.
-func atPeerOf(received string) string {
+// payloadOnly drops a TLS record (alert or hello) that a peer without TLS reads as data.
+func payloadOnly(received string) string {
 	if received == payload {
 		return payload
 	}
 	return ""
 }
 
-func TestLoadRefuses(t *testing.T) {
+func TestLoadRejects(t *testing.T) {
 	c := qt.New(t)
 	authority := newAuthority(c)
-	good, err := authority.WriteNode(t.TempDir(), "node")
+	valid, err := authority.WriteNode(t.TempDir(), "node")
 	c.Assert(err, qt.IsNil)
 	other, err := newAuthority(c).WriteNode(t.TempDir(), "node")
 	c.Assert(err, qt.IsNil)
@@ -159,11 +159,11 @@
 		files settings.TLS
 		want  string
 	}{
-		{"no key", settings.TLS{CertificateFile: good.CertificateFile, AuthorityFile: good.AuthorityFile}, ".*or none of them"},
-		{"file missing", settings.TLS{CertificateFile: "absent", KeyFile: "absent", AuthorityFile: "absent"}, ".*certificate_file.*"},
-		{"key of another", settings.TLS{CertificateFile: good.CertificateFile, KeyFile: other.KeyFile, AuthorityFile: good.AuthorityFile}, ".*certificate and key.*"},
-		{"authority of another", settings.TLS{CertificateFile: good.CertificateFile, KeyFile: good.KeyFile, AuthorityFile: other.AuthorityFile}, ".*own certificate.*"},
-		{"authority is no certificate", settings.TLS{CertificateFile: good.CertificateFile, KeyFile: good.KeyFile, AuthorityFile: good.KeyFile}, ".*authority file.*"},
+		{"key file not set", settings.TLS{CertificateFile: valid.CertificateFile, AuthorityFile: valid.AuthorityFile}, ".*or none of them"},
+		{"files missing", settings.TLS{CertificateFile: "absent", KeyFile: "absent", AuthorityFile: "absent"}, ".*certificate_file.*"},
+		{"key of another certificate", settings.TLS{CertificateFile: valid.CertificateFile, KeyFile: other.KeyFile, AuthorityFile: valid.AuthorityFile}, ".*certificate and key.*"},
+		{"authority of another certificate", settings.TLS{CertificateFile: valid.CertificateFile, KeyFile: valid.KeyFile, AuthorityFile: other.AuthorityFile}, ".*own certificate.*"},
+		{"authority file without a certificate", settings.TLS{CertificateFile: valid.CertificateFile, KeyFile: valid.KeyFile, AuthorityFile: valid.KeyFile}, ".*authority file.*"},
 	} {
 		c.Run(test.name, func(c *qt.C) {
 			_, err := keys.Load(test.files)
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestNoFilesMeanPlainConnections(t *testing.T) {
+func TestNoFilesMeanNoTLS(t *testing.T) {
 	c := qt.New(t)
 	k, err := keys.Load(settings.TLS{})
 	c.Assert(err, qt.IsNil)
@@ -181,7 +181,7 @@
 	c.Assert(k.NodeConfig(), qt.IsNil)
 }
 
-func TestReplacedFilesAreUsedByNewConnections(t *testing.T) {
+func TestNewConnectionsUseReplacedFiles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		oldAuthority, newAuthority := newAuthority(c), newAuthority(c)
@@ -189,32 +189,32 @@
 		c.Assert(err, qt.IsNil)
 		k, err := keys.Load(files)
 		c.Assert(err, qt.IsNil)
-		logger, logged := logrustest.NewNullLogger()
+		logger, hook := logrustest.NewNullLogger()
 		ctx, cancel := context.WithCancel(context.Background())
 		go k.Run(ctx, logger)
-		interval := func() {
+		waitForReload := func() {
 			time.Sleep(keys.ReloadInterval)
 			synctest.Wait()
 		}
 
 		c.Assert(os.WriteFile(files.CertificateFile, []byte("broken"), 0o600), qt.IsNil)
-		interval()
-		interval()
-		c.Assert(logged.AllEntries(), qt.HasLen, 1, qt.Commentf("a broken pair is logged once"))
-		c.Assert(logged.LastEntry().Level, qt.Equals, logrus.ErrorLevel)
-		c.Assert(accepts(c, k, oldAuthority), qt.IsTrue, qt.Commentf("the old pair stays"))
+		waitForReload()
+		waitForReload()
+		c.Assert(hook.AllEntries(), qt.HasLen, 1, qt.Commentf("an invalid certificate must be logged once"))
+		c.Assert(hook.LastEntry().Level, qt.Equals, logrus.ErrorLevel)
+		c.Assert(accepts(c, k, oldAuthority), qt.IsTrue, qt.Commentf("the old keys must stay in use"))
 
 		pair, err := newAuthority.Issue(throwaway.Request{Name: "node"})
 		c.Assert(err, qt.IsNil)
 		c.Assert(throwaway.Write(files, pair, newAuthority), qt.IsNil)
-		interval()
+		waitForReload()
 		c.Assert(accepts(c, k, newAuthority), qt.IsTrue)
 		c.Assert(accepts(c, k, oldAuthority), qt.IsFalse)
 		cancel()
 	})
 }
 
-// accepts reports whether k and a node of the authority accept each other.
+// accepts reports whether k and a node of the authority accept each other's certificates.
 func accepts(c *qt.C, k *keys.Keys, authority *throwaway.Authority) bool {
 	atServer, atClient := exchange(c, k.ServerConfig(), newKeys(c, authority).ClientConfig())
 	return atServer == payload && atClient == payload
--- a/internal/keys/material.go
+++ b/internal/keys/material.go
@@ -9,30 +9,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// requiredUsages are what a node's certificate must state: nodes both take and
-// open connections.
+// requiredUsages are the extended key usages that a node's certificate must have:
+// nodes both accept and open connections.
 var requiredUsages = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 
-// encoded is the PEM text of a set of keys.
-type encoded struct {
+// pemTexts holds a certificate, its key and the authority as PEM texts.
+type pemTexts struct {
 	certificate, key, authority string
 }
 
-// material is a checked set of keys.
+// material holds a verified certificate with its key, and the authority.
 type material struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// parse decodes the keys and checks that peers would accept the certificate.
-func (e encoded) parse(now time.Time) (*material, error) {
-	certificate, err := tls.X509KeyPair([]byte(e.certificate), []byte(e.key))
+// parse decodes the PEM texts and checks that peers would accept the certificate.
+func (p pemTexts) parse(now time.Time) (*material, error) {
+	certificate, err := tls.X509KeyPair([]byte(p.certificate), []byte(p.key))
 	if err != nil {
 		return nil, eris.Wrap(err, "tls: certificate and key")
 	}
 	authority := x509.NewCertPool()
-	if !authority.AppendCertsFromPEM([]byte(e.authority)) {
-		return nil, eris.New("tls: the authority file holds no certificate in PEM form")
+	if !authority.AppendCertsFromPEM([]byte(p.authority)) {
+		return nil, eris.New("tls: the authority file contains no PEM certificate")
 	}
 	loaded := &material{certificate: certificate, authority: authority}
 	chain, err := parseChain(certificate.Certificate)
@@ -45,9 +45,9 @@
 	return loaded, nil
 }
 
-func parseChain(encodedChain [][]byte) ([]*x509.Certificate, error) {
-	chain := make([]*x509.Certificate, 0, len(encodedChain))
-	for _, der := range encodedChain {
+func parseChain(derChain [][]byte) ([]*x509.Certificate, error) {
+	chain := make([]*x509.Certificate, 0, len(derChain))
+	for _, der := range derChain {
 		certificate, err := x509.ParseCertificate(der)
 		if err != nil {
 			return nil, eris.Wrap(err, "tls: certificate")
@@ -57,11 +57,11 @@
 	return chain, nil
 }
 
-// verify checks a chain, leaf first: signed by the authority, valid now, and
-// issued to a node.
+// verify checks a chain, leaf first: it must be signed by the authority, be valid
+// now, and have the usages of a node.
 func (m *material) verify(chain []*x509.Certificate, now time.Time) error {
 	if len(chain) == 0 {
-		return eris.New("the peer shows no certificate")
+		return eris.New("the peer presented no certificate")
 	}
 	leaf := chain[0]
 	intermediates := x509.NewCertPool()
@@ -70,7 +70,7 @@
 	}
 	for _, usage := range requiredUsages {
 		if !slices.Contains(leaf.ExtKeyUsage, usage) {
-			return eris.New("the certificate is not for both server and client authentication")
+			return eris.New("the certificate does not allow both server and client authentication")
 		}
 		_, err := leaf.Verify(x509.VerifyOptions{
 			Roots:         m.authority,
@@ -79,7 +79,7 @@
 			KeyUsages:     []x509.ExtKeyUsage{usage},
 		})
 		if err != nil {
-			return eris.Wrap(err, "the certificate is not accepted")
+			return eris.Wrap(err, "verify the certificate")
 		}
 	}
 	return nil
--- a/internal/keys/throwaway/throwaway.go
+++ b/internal/keys/throwaway/throwaway.go
@@ -1,6 +1,6 @@
-// Package throwaway makes an authority and node certificates for benches and
-// tests. The product does not import it: the keys are not protected and the
-// authority lives only as long as the process.
+// Package throwaway creates a certificate authority and node certificates for
+// benchmarks and tests. Nodes in production do not use it: the keys are not
+// protected and the authority exists only as long as the process.
 package throwaway
 
 import (
@@ -21,9 +21,10 @@
 )
 
 const (
-	// Validity is how long a certificate is valid unless a Request says other.
+	// Validity is how long a certificate is valid unless its Request sets NotAfter.
 	Validity = 24 * time.Hour
-	// clockTolerance is how long before now certificates begin.
+	// clockTolerance is how far in the past the validity begins, as the clocks of
+	// machines differ.
 	clockTolerance = time.Hour
 	serialBits     = 120
 	fileMode       = 0o600
@@ -31,29 +32,29 @@
 
 // Authority issues certificates. It is safe for concurrent use.
 type Authority struct {
-	certificate *x509.Certificate
-	key         *ecdsa.PrivateKey
-	encoded     []byte
+	certificate    *x509.Certificate
+	key            *ecdsa.PrivateKey
+	certificatePEM []byte
 }
 
-// Request says what certificate to issue. Zero fields take the defaults of a
-// good node certificate.
+// Request describes the certificate to issue. Zero fields get the values of a
+// valid node certificate.
 type Request struct {
 	Name     string
 	NotAfter time.Time
 	Usages   []x509.ExtKeyUsage
 }
 
-// Pair is a certificate and its private key in PEM form.
+// Pair is a certificate and its private key, PEM encoded.
 type Pair struct {
 	Certificate, Key []byte
 }
 
-// NewAuthority makes an authority with a new ECDSA P-256 key.
+// NewAuthority creates an authority with a new ECDSA P-256 key.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "authority key")
+		return nil, eris.Wrap(err, "create the authority's key")
 	}
 	template, err := newTemplate("throwaway authority", time.Now().Add(Validity))
 	if err != nil {
@@ -64,19 +65,19 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, eris.Wrap(err, "authority certificate")
+		return nil, eris.Wrap(err, "create the authority's certificate")
 	}
 	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, eris.Wrap(err, "authority certificate")
+		return nil, eris.Wrap(err, "create the authority's certificate")
 	}
-	return &Authority{certificate: certificate, key: key, encoded: encode("CERTIFICATE", der)}, nil
+	return &Authority{certificate: certificate, key: key, certificatePEM: encodePEM("CERTIFICATE", der)}, nil
 }
 
-// Certificate returns the authority's certificate in PEM form.
-func (a *Authority) Certificate() []byte { return a.encoded }
+// Certificate returns the authority's certificate, PEM encoded.
+func (a *Authority) Certificate() []byte { return a.certificatePEM }
 
-// Issue makes a certificate with a new ECDSA P-256 key.
+// Issue creates a certificate with a new ECDSA P-256 key.
 func (a *Authority) Issue(request Request) (Pair, error) {
 	if request.NotAfter.IsZero() {
 		request.NotAfter = time.Now().Add(Validity)
@@ -86,7 +87,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, eris.Wrap(err, "node key")
+		return Pair{}, eris.Wrap(err, "create the node's key")
 	}
 	template, err := newTemplate(request.Name, request.NotAfter)
 	if err != nil {
@@ -96,17 +97,17 @@
 	template.ExtKeyUsage = request.Usages
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &key.PublicKey, a.key)
 	if err != nil {
-		return Pair{}, eris.Wrap(err, "node certificate")
+		return Pair{}, eris.Wrap(err, "create the node's certificate")
 	}
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, eris.Wrap(err, "node key")
+		return Pair{}, eris.Wrap(err, "create the node's key")
 	}
-	return Pair{Certificate: encode("CERTIFICATE", der), Key: encode("PRIVATE KEY", keyDER)}, nil
+	return Pair{Certificate: encodePEM("CERTIFICATE", der), Key: encodePEM("PRIVATE KEY", keyDER)}, nil
 }
 
 // WriteNode issues a node certificate and writes it, its key and the authority's
-// certificate into the directory. It returns the settings that name the files.
+// certificate to the directory. It returns the settings that name the files.
 func (a *Authority) WriteNode(directory, name string) (settings.TLS, error) {
 	pair, err := a.Issue(Request{Name: name})
 	if err != nil {
@@ -120,7 +121,7 @@
 	return files, Write(files, pair, a)
 }
 
-// Write puts the pair and the authority's certificate into the files.
+// Write writes the pair and the authority's certificate to the files.
 func Write(files settings.TLS, pair Pair, authority *Authority) error {
 	contents := map[string][]byte{
 		files.CertificateFile: pair.Certificate,
@@ -129,7 +130,7 @@
 	}
 	for path, content := range contents {
 		if err := os.WriteFile(path, content, fileMode); err != nil {
-			return eris.Wrap(err, "write keys")
+			return eris.Wrap(err, "write the key files")
 		}
 	}
 	return nil
@@ -138,7 +139,7 @@
 func newTemplate(name string, notAfter time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, eris.Wrap(err, "serial number")
+		return nil, eris.Wrap(err, "create the serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -155,6 +156,6 @@
 	return b
 }
 
-func encode(kind string, der []byte) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
+func encodePEM(blockType string, der []byte) []byte {
+	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
