--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"github.com/winchhead/winchhead/internal/logging"
 )
 
-func TestPartIsTheFixedPrefix(t *testing.T) {
+func TestPartPrecedesTheMessage(t *testing.T) {
 	for format, want := range map[string]string{
 		"text": `level=warning msg="inbound: shed" count=2` + "\n",
 		"json": `"count":2,"level":"warning","msg":"shed","part":"inbound"`,
@@ -26,10 +26,10 @@
 	}
 }
 
-func TestUnknownLevelAndFormat(t *testing.T) {
+func TestUnknownLevelOrFormat(t *testing.T) {
 	c := qt.New(t)
 	_, err := logging.New(&bytes.Buffer{}, "loud", "text")
 	c.Assert(err, qt.ErrorMatches, `log level "loud".*`)
 	_, err = logging.New(&bytes.Buffer{}, "info", "xml")
-	c.Assert(err, qt.ErrorMatches, `log format "xml": want text or json`)
+	c.Assert(err, qt.ErrorMatches, `log format "xml": expected text or json`)
 }
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// DefaultBacklogBytes is how many bytes of lines a Writer holds for an output that
-// does not take them.
+// DefaultBacklogBytes is the default of how many bytes a Writer buffers while its
+// output is blocked.
 const DefaultBacklogBytes = 256 << 10
 
-// Writer passes lines on to an output without ever waiting for it: lines that the
-// output does not take in time are left out and counted. It is safe for concurrent
-// use. Close it to have the last lines written.
+// Writer writes lines to an output in the background, so that callers never block
+// on it. Lines that do not fit into the buffer are dropped and counted. It is safe
+// for concurrent use. Close flushes the buffer.
 type Writer struct {
 	out   io.Writer
 	limit int
 
 	mutex   sync.Mutex
-	backlog []byte
-	omitted int
+	buffer  []byte
+	dropped int
 	closed  bool
-	wake    chan struct{} // holds one signal
-	done    chan struct{} // closed when the last line was written
+	wake    chan struct{} // has room for one signal
+	done    chan struct{} // closed after the last line was written
 }
 
-// NewWriter returns a Writer to out that holds limit bytes at most; zero or less
-// takes DefaultBacklogBytes.
+// NewWriter returns a Writer to out that buffers at most limit bytes; zero or less
+// means DefaultBacklogBytes.
 func NewWriter(out io.Writer, limit int) *Writer {
 	if limit <= 0 {
 		limit = DefaultBacklogBytes
 	}
-	created := &Writer{out: out, limit: limit, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	go created.run()
-	return created
+	writer := &Writer{out: out, limit: limit, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	go writer.run()
+	return writer
 }
 
-// Write takes one or more whole lines. It never fails and never waits for the
+// Write buffers one or more whole lines. It never fails and never waits for the
 // output.
 func (w *Writer) Write(lines []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.closed || len(w.backlog)+len(lines) > w.limit {
-		w.omitted++
+	if w.closed || len(w.buffer)+len(lines) > w.limit {
+		w.dropped++
 		return len(lines), nil
 	}
-	w.backlog = append(w.backlog, lines...)
+	w.buffer = append(w.buffer, lines...)
 	select {
 	case w.wake <- struct{}{}:
-	default: // a signal is there already
+	default: // a signal is already pending
 	}
 	return len(lines), nil
 }
 
-// Close has what is held written and returns once it is, or after the wait.
+// Close flushes the buffered lines and returns once they are written, or after the wait.
 func (w *Writer) Close(wait time.Duration) {
 	w.mutex.Lock()
 	first := !w.closed
@@ -71,27 +71,27 @@
 	}
 }
 
-// run writes what has gathered, as one piece, until the Writer is closed.
+// run writes the buffered lines, each time in one write, until the Writer is closed.
 func (w *Writer) run() {
 	defer close(w.done)
 	var spare []byte
 	for range w.wake {
-		spare = w.writeBacklog(spare)
+		spare = w.flush(spare)
 	}
-	w.writeBacklog(spare)
+	w.flush(spare)
 }
 
-// writeBacklog writes all lines that are held and returns their buffer for reuse.
-func (w *Writer) writeBacklog(spare []byte) []byte {
+// flush writes all buffered lines and returns their buffer for reuse.
+func (w *Writer) flush(spare []byte) []byte {
 	w.mutex.Lock()
-	lines, omitted := w.backlog, w.omitted
-	w.backlog, w.omitted = spare[:0], 0
+	lines, dropped := w.buffer, w.dropped
+	w.buffer, w.dropped = spare[:0], 0
 	w.mutex.Unlock()
 	if len(lines) > 0 {
-		_, _ = w.out.Write(lines) // there is nowhere to report it
+		_, _ = w.out.Write(lines) // there is nowhere to report an error
 	}
-	if omitted > 0 {
-		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warning\",\"msg\":\"the output was too slow\",\"omitted\":%d,\"part\":\"log\"}\n", omitted)
+	if dropped > 0 {
+		_, _ = fmt.Fprintf(w.out, "{\"level\":\"warning\",\"msg\":\"lines dropped: the output was too slow\",\"omitted\":%d,\"part\":\"log\"}\n", dropped)
 	}
 	return lines
 }
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -17,15 +17,15 @@
 // forever is longer than any test runs.
 const forever = time.Hour
 
-// TestStoppedReaderBlocksNobody: a reader that stops reading costs lines, which are
-// counted, and no time of those who log.
-func TestStoppedReaderBlocksNobody(t *testing.T) {
+// TestBlockedOutputDoesNotBlockWriters checks that an output that is not read makes the
+// Writer drop and count lines instead of blocking those that log.
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	c := qt.New(t)
 	reader, out := io.Pipe()
 	writer := logging.NewWriter(out, 100)
 	const lines, lineBytes = 1000, 10
 	for i := range lines {
-		count, err := fmt.Fprintf(writer, "line-%04d\n", i) // would hang if it waited
+		count, err := fmt.Fprintf(writer, "line-%04d\n", i) // hangs if Write waits for the output
 		c.Assert(err, qt.IsNil)
 		c.Assert(count, qt.Equals, lineBytes)
 	}
@@ -35,23 +35,23 @@
 		_ = out.Close()
 		close(closed)
 	}()
-	read, told := 0, 0
+	read, dropped := 0, 0
 	for scanner := bufio.NewScanner(reader); scanner.Scan(); {
 		omitted := 0
 		if at := strings.Index(scanner.Text(), `"omitted":`); at >= 0 {
 			_, err := fmt.Sscanf(scanner.Text()[at:], `"omitted":%d`, &omitted)
 			c.Assert(err, qt.IsNil)
-			told += omitted
+			dropped += omitted
 			continue
 		}
 		read++
 	}
 	<-closed
-	c.Check(read >= 100/lineBytes, qt.IsTrue, qt.Commentf("%d read", read))
-	c.Check(read+told, qt.Equals, lines)
+	c.Check(read >= 100/lineBytes, qt.IsTrue, qt.Commentf("%d lines read", read))
+	c.Check(read+dropped, qt.Equals, lines)
 }
 
-func TestWriterKeepsOrderAndFlushes(t *testing.T) {
+func TestWriterKeepsOrderAndFlushesOnClose(t *testing.T) {
 	c := qt.New(t)
 	var out, want bytes.Buffer
 	writer := logging.NewWriter(&out, 0)
@@ -61,14 +61,15 @@
 	}
 	writer.Close(forever)
 	c.Check(out.String(), qt.Equals, want.String())
-	_, err := writer.Write([]byte("after the end\n"))
+	_, err := writer.Write([]byte("after Close\n"))
 	c.Check(err, qt.IsNil)
 	writer.Close(forever)
 	c.Check(out.String(), qt.Equals, want.String())
 }
 
-// TestCloseDoesNotWaitForAStoppedReader: a process ends though nobody reads its log.
-func TestCloseDoesNotWaitForAStoppedReader(t *testing.T) {
+// TestCloseDoesNotWaitForBlockedOutput checks that a process can exit when nobody reads its
+// log.
+func TestCloseDoesNotWaitForBlockedOutput(t *testing.T) {
 	_, out := io.Pipe()
 	writer := logging.NewWriter(out, 0)
 	_, _ = writer.Write([]byte("line\n"))
