--- a/internal/wire/claim.go
+++ b/internal/wire/claim.go
@@ -6,66 +6,66 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// ClaimKey names an Idempotency-Key on a route: a hash, so that its size is fixed
-// and the key itself stays with the node that got it.
+// ClaimKey identifies an Idempotency-Key on a route. It is a hash, so that its size
+// is fixed and the key itself never leaves the node that received it.
 type ClaimKey [sha256.Size]byte
 
-// ClaimFingerprint tells requests with one key apart.
+// ClaimFingerprint distinguishes different requests that use the same key.
 type ClaimFingerprint [sha256.Size]byte
 
-// ClaimHolder names one request to one process. Number is never used twice by a
-// process.
+// ClaimHolder identifies one request to one process. A process never uses a Number
+// twice.
 type ClaimHolder struct {
 	Node        membership.NodeID
 	Incarnation membership.Incarnation
 	Number      uint64
 }
 
-// ClaimAction is what a ClaimRequest asks for.
+// ClaimAction is the operation that a ClaimRequest asks for.
 type ClaimAction uint8
 
-// The actions.
+// The actions of a ClaimRequest.
 const (
 	ClaimActionClaim   ClaimAction = 1 // grant the key to Holder
-	ClaimActionRelease ClaimAction = 2 // Holder did not run: free the key
-	ClaimActionQuery   ClaimAction = 3 // tell who holds the key, change nothing
+	ClaimActionRelease ClaimAction = 2 // Holder was not executed: free the key
+	ClaimActionQuery   ClaimAction = 3 // report who holds the key, change nothing
 )
 
-// ClaimRequest asks a replica about a key. Requests on one connection are handled
-// in their order.
+// ClaimRequest asks a replica to grant, free or look up a key. A replica handles
+// the requests of a connection in their order.
 type ClaimRequest struct {
-	// Number joins a reply to its request on one connection.
+	// Number matches a reply with its request on the same connection.
 	Number      uint64
 	Action      ClaimAction
 	Key         ClaimKey
 	Fingerprint ClaimFingerprint
 	Holder      ClaimHolder
-	// RunsFor is the time left for the request, in milliseconds.
+	// RunsFor is the remaining time of the request, in milliseconds.
 	RunsFor int64
-	// Hold is how long the grant lasts, in milliseconds; it is above RunsFor.
+	// Hold is how long the grant lasts, in milliseconds; it is longer than RunsFor.
 	Hold int64
 }
 
-// ClaimVerdict is a replica's answer.
+// ClaimVerdict is the result in a replica's reply.
 type ClaimVerdict uint8
 
-// The verdicts.
+// The verdicts of a ClaimReply.
 const (
-	ClaimGranted  ClaimVerdict = 1 // Holder of the request holds the key
-	ClaimTaken    ClaimVerdict = 2 // another holder has it: ClaimReply.Holder
-	ClaimConflict ClaimVerdict = 3 // another holder has it for another request
-	ClaimFull     ClaimVerdict = 4 // the replica can remember no more
-	ClaimFree     ClaimVerdict = 5 // nobody holds the key, or not any more
-	ClaimReleased ClaimVerdict = 6 // the claim came after its own release
+	ClaimGranted  ClaimVerdict = 1 // the request's Holder holds the key
+	ClaimTaken    ClaimVerdict = 2 // another holder has the key: ClaimReply.Holder
+	ClaimConflict ClaimVerdict = 3 // another holder has the key for a different request
+	ClaimFull     ClaimVerdict = 4 // the replica cannot store more keys
+	ClaimFree     ClaimVerdict = 5 // nobody holds the key, or its grant has ended
+	ClaimReleased ClaimVerdict = 6 // the request's Holder has already released the key
 )
 
 // ClaimReply answers a ClaimRequest.
 type ClaimReply struct {
 	Number  uint64
 	Verdict ClaimVerdict
-	// Holder has the key, with ClaimTaken and ClaimConflict.
+	// Holder is the current holder; set with ClaimTaken and ClaimConflict.
 	Holder ClaimHolder
-	// Running tells that the time of the holder's request is not over yet.
+	// Running is set while the holder's request still has time left.
 	Running bool
 }
 
@@ -83,7 +83,7 @@
 
 func (e encoder) claimRequest(m *ClaimRequest) {
 	e.unsigned(m.Number)
-	e.small(uint8(m.Action))
+	e.octet(uint8(m.Action))
 	e.fixed(m.Key[:])
 	e.fixed(m.Fingerprint[:])
 	e.claimHolder(m.Holder)
@@ -100,7 +100,7 @@
 }
 
 func (d decoder) claimRequest() *ClaimRequest {
-	m := &ClaimRequest{Number: d.unsigned(), Action: ClaimAction(d.small())}
+	m := &ClaimRequest{Number: d.unsigned(), Action: ClaimAction(d.octet())}
 	d.Read(m.Key[:])
 	d.Read(m.Fingerprint[:])
 	m.Holder = d.claimHolder()
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -9,42 +9,44 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// encodeBufferBytes holds most messages without growing.
+// encodeBufferBytes is the initial buffer size; most messages fit without growing it.
 const encodeBufferBytes = 128
 
-// The least encoded sizes of array items, in bytes: one for each variable field.
+// The minimum encoded sizes of array items, in bytes. Each field of variable size counts as
+// one byte.
 const (
-	minRecordBytes      = 10
-	minObservationBytes = 4
-	minListedEntryBytes = 3
-	minListedBytes      = 5
-	minResourceBytes    = 3
-	minKeyBytes         = 2
-	digestBytes         = 8
-	minCrashBytes       = 11
-	minFleetChangeBytes = minResourceBytes + 2
-	crashRequestBytes   = suspects.FingerprintBytes + 2
+	minRecordBytes       = 10
+	minObservationBytes  = 4
+	minListedEntryBytes  = 3
+	minListedMemberBytes = 5
+	minResourceBytes     = 3
+	minKeyBytes          = 2
+	digestBytes          = 8
+	minCrashBytes        = 11
+	minFleetChangeBytes  = minResourceBytes + 2
+	crashRequestBytes    = suspects.FingerprintBytes + 2
 )
 
-// Encode returns a whole frame, ready to be written to many links.
+// Encode returns the complete frame of a message, which may be written to any number of
+// links.
 func Encode(message Message) ([]byte, error) {
 	e := encoder{avro.NewWriter(nil, encodeBufferBytes)}
 	if !e.message(message) {
-		return nil, eris.Errorf("no encoding for message type %d", message.Type())
+		return nil, eris.Errorf("message type %d cannot be encoded", message.Type())
 	}
 	if e.Error != nil {
 		return nil, eris.Wrapf(e.Error, "encode message type %d", message.Type())
 	}
 	body := e.Buffer()
-	if len(body) >= compressFrom {
-		if packed, shorter := compress(body); shorter {
-			return appendFrame(message.Type()|Compressed, packed), nil
+	if len(body) >= minCompressBytes {
+		if compressed, shorter := compress(body); shorter {
+			return appendFrame(message.Type()|Compressed, compressed), nil
 		}
 	}
 	return appendFrame(message.Type(), body), nil
 }
 
-// Decode returns the message in a frame's body. Errors wrap ErrFrame.
+// Decode decodes the body of a frame. Errors wrap ErrFrame.
 func Decode(messageType Type, body []byte) (Message, error) {
 	reader := avro.NewReader(nil, 0)
 	d := decoder{Reader: reader.Reset(body), bodyBytes: len(body)}
@@ -52,7 +54,7 @@
 	if message == nil {
 		return nil, eris.Wrapf(ErrFrame, "unknown message type %d", messageType)
 	}
-	if err := d.finish(); err != nil {
+	if err := d.checkEnd(); err != nil {
 		return nil, eris.Wrapf(err, "message type %d", messageType)
 	}
 	return message, nil
@@ -64,7 +66,7 @@
 		e.hello(m)
 	case *Heartbeat:
 		e.long(m.Interval)
-		e.small(uint8(m.Reading))
+		e.octet(uint8(m.Reading))
 		e.long(m.SourceAge)
 	case *Announce:
 		e.shortVersion(m.Version)
@@ -77,7 +79,7 @@
 		e.shortVersion(m.Held)
 		e.fixed64(m.FleetDigest)
 		e.long(m.SourceAge)
-		e.small(uint8(m.Request))
+		e.octet(uint8(m.Request))
 	case *Records:
 		encodeArray(e, m.Records, e.record)
 		encodeArray(e, m.Observations, e.observation)
@@ -94,12 +96,12 @@
 	case *StatusReply:
 		e.statusReply(m)
 	case *Goodbye:
-		e.small(uint8(m.Reason))
+		e.octet(uint8(m.Reason))
 	case *ClaimRequest:
 		e.claimRequest(m)
 	case *ClaimReply:
 		e.unsigned(m.Number)
-		e.small(uint8(m.Verdict))
+		e.octet(uint8(m.Verdict))
 		e.claimHolder(m.Holder)
 		e.boolean(m.Running)
 	case *Crashes:
@@ -117,7 +119,7 @@
 	e.record(m.Self)
 	e.shortVersion(m.Held)
 	e.fixed64(m.FleetDigest)
-	e.small(uint8(m.Purpose))
+	e.octet(uint8(m.Purpose))
 	e.long(m.Interval)
 	e.boolean(m.Group)
 }
@@ -137,7 +139,7 @@
 	e.text(string(m.Node))
 	e.unsigned(uint64(m.Incarnation))
 	e.text(m.Zone)
-	e.small(uint8(m.State))
+	e.octet(uint8(m.State))
 	e.version(m.Held)
 	e.unsigned(m.Generation)
 	e.version(m.Refused)
@@ -147,14 +149,14 @@
 	e.long(m.SourceAge)
 }
 
-// message reads the fields in the order in which encoder.message writes them;
-// Go evaluates the elements of a composite literal from left to right.
+// message reads the fields in the order in which encoder.message writes them. Go
+// evaluates the elements of a composite literal from left to right.
 func (d decoder) message(messageType Type) Message {
 	switch messageType {
 	case TypeHello:
 		return d.hello()
 	case TypeHeartbeat:
-		return &Heartbeat{Interval: d.long(), Reading: Reading(d.small()), SourceAge: d.long()}
+		return &Heartbeat{Interval: d.long(), Reading: Reading(d.octet()), SourceAge: d.long()}
 	case TypeAnnounce:
 		return &Announce{Version: d.shortVersion()}
 	case TypePull:
@@ -170,7 +172,7 @@
 			Held:        d.shortVersion(),
 			FleetDigest: d.fixed64(),
 			SourceAge:   d.long(),
-			Request:     DigestRequest(d.small()),
+			Request:     DigestRequest(d.octet()),
 		}
 	case TypeRecords:
 		return &Records{
@@ -191,13 +193,13 @@
 	case TypeStatusReply:
 		return d.statusReply()
 	case TypeGoodbye:
-		return &Goodbye{Reason: GoodbyeReason(d.small())}
+		return &Goodbye{Reason: GoodbyeReason(d.octet())}
 	case TypeClaimRequest:
 		return d.claimRequest()
 	case TypeClaimReply:
 		return &ClaimReply{
 			Number:  d.unsigned(),
-			Verdict: ClaimVerdict(d.small()),
+			Verdict: ClaimVerdict(d.octet()),
 			Holder:  d.claimHolder(),
 			Running: d.boolean(),
 		}
@@ -216,7 +218,7 @@
 		Self:        d.record(),
 		Held:        d.shortVersion(),
 		FleetDigest: d.fixed64(),
-		Purpose:     Purpose(d.small()),
+		Purpose:     Purpose(d.octet()),
 		Interval:    d.long(),
 		Group:       d.boolean(),
 	}
@@ -236,7 +238,7 @@
 		Node:        membership.NodeID(d.text()),
 		Incarnation: membership.Incarnation(d.unsigned()),
 		Zone:        d.text(),
-		State:       membership.State(d.small()),
+		State:       membership.State(d.octet()),
 		Held:        d.version(),
 		Generation:  d.unsigned(),
 		Refused:     d.version(),
--- a/internal/wire/compress.go
+++ b/internal/wire/compress.go
@@ -9,15 +9,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Compressed is set in the type of a frame whose body is compressed with DEFLATE
+// Compressed is the flag in a frame's type that marks a body compressed with DEFLATE
 // (RFC 1951).
 const Compressed Type = 0x80
 
-// compressFrom is the size of a body, in bytes, from which it is compressed. Small
-// messages are not worth the processor time.
-const compressFrom = 1 << 10
+// minCompressBytes is the size from which bodies are compressed. Compressing smaller
+// messages is not worth the CPU time.
+const minCompressBytes = 1 << 10
 
-// compressors keeps the large state of compressors for the next message.
+// compressors reuses compressors, whose state is large.
 var compressors = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
@@ -26,32 +26,33 @@
 	return writer
 }}
 
-// compress returns the body in compressed form, or false when that is not shorter.
+// compress returns the compressed body, or false if it is not shorter.
 func compress(body []byte) ([]byte, bool) {
-	var packed bytes.Buffer
+	var compressed bytes.Buffer
 	writer := compressors.Get().(*flate.Writer)
 	defer compressors.Put(writer)
-	writer.Reset(&packed)
+	writer.Reset(&compressed)
 	if _, err := writer.Write(body); err != nil {
-		return nil, false // a buffer takes everything
+		return nil, false // writes to a buffer do not fail
 	}
-	if err := writer.Close(); err != nil || packed.Len() >= len(body) {
+	if err := writer.Close(); err != nil || compressed.Len() >= len(body) {
 		return nil, false
 	}
-	return packed.Bytes(), true
+	return compressed.Bytes(), true
 }
 
-// decompress unpacks a whole body of at most limit bytes. Errors wrap ErrFrame.
-func decompress(packed []byte, limit int) ([]byte, error) {
-	source := bytes.NewReader(packed)
+// decompress returns the decompressed body, which may have at most limit bytes. Errors wrap
+// ErrFrame.
+func decompress(compressed []byte, limit int) ([]byte, error) {
+	source := bytes.NewReader(compressed)
 	body, err := io.ReadAll(io.LimitReader(flate.NewReader(source), int64(limit)+1))
 	switch {
 	case err != nil:
 		return nil, eris.Wrapf(ErrFrame, "decompress: %v", err)
 	case len(body) > limit:
-		return nil, eris.Wrapf(ErrFrame, "more than %d bytes once decompressed", limit)
+		return nil, eris.Wrapf(ErrFrame, "decompressed body exceeds %d bytes", limit)
 	case source.Len() > 0:
-		return nil, eris.Wrapf(ErrFrame, "%d bytes behind the compressed body", source.Len())
+		return nil, eris.Wrapf(ErrFrame, "%d bytes after the compressed body", source.Len())
 	}
 	return body, nil
 }
--- a/internal/wire/compress_test.go
+++ b/internal/wire/compress_test.go
@@ -13,7 +13,7 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// largeUpdate carries many routes, as after a change of the whole configuration.
+// largeUpdate returns an update of many routes, as after a change of the whole configuration.
 func largeUpdate(routes int) *wire.Update {
 	update := &wire.Update{Base: 1, Target: snapshot.Version{Revision: 2, Hash: snapshot.ContentHash{1}}}
 	for i := range routes {
@@ -26,8 +26,8 @@
 	return update
 }
 
-// TestLargeFramesAreCompressed: a change of 1000 routes takes less than a sixth of
-// its bytes on the wire, and arrives as it was sent.
+// TestLargeFramesAreCompressed checks that a change of 1000 routes is compressed to less
+// than a sixth of its size and decoded to the same message.
 func TestLargeFramesAreCompressed(t *testing.T) {
 	c := qt.New(t)
 	update := largeUpdate(1000)
@@ -35,10 +35,10 @@
 	frame, err := wire.Encode(update)
 	c.Assert(err, qt.IsNil)
 	c.Check(len(frame) < plain/6, qt.IsTrue, qt.Commentf("%d of %d bytes", len(frame), plain))
-	read, size, err := wire.NewReader(bytes.NewReader(frame), wire.Limits{}).Next()
+	received, size, err := wire.NewReader(bytes.NewReader(frame), wire.Limits{}).Next()
 	c.Assert(err, qt.IsNil)
 	c.Check(size, qt.Equals, len(frame))
-	c.Check(read, qt.DeepEquals, wire.Message(update))
+	c.Check(received, qt.DeepEquals, wire.Message(update))
 }
 
 func compressed(content []byte) []byte {
@@ -49,17 +49,17 @@
 	return out.Bytes()
 }
 
-// TestMalformedCompression: what a peer compressed is bounded by the limit of a
-// frame once it is unpacked, and must be whole.
+// TestMalformedCompression checks that compressed bodies are rejected if they exceed the
+// limit of a frame when decompressed, or are not one complete DEFLATE stream.
 func TestMalformedCompression(t *testing.T) {
 	const limit = 1 << 20
 	whole := compressed(make([]byte, 1000))
 	for name, body := range map[string][]byte{
-		"unpacks beyond the limit": compressed(make([]byte, limit+1)),
-		"cut":                      whole[:len(whole)/2],
-		"bytes behind":             append(bytes.Clone(whole), 1, 2, 3),
-		"not compressed":           []byte("plain bytes"),
-		"empty":                    {},
+		"decompressed size above the limit": compressed(make([]byte, limit+1)),
+		"truncated":                         whole[:len(whole)/2],
+		"bytes after the compressed body":   append(bytes.Clone(whole), 1, 2, 3),
+		"not compressed":                    []byte("plain bytes"),
+		"empty":                             {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			frame := frameOf(wire.TypeUpdate|wire.Compressed, body)
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkLargeFrame measures packing and unpacking a change of 1000 routes.
+// BenchmarkLargeFrame measures encoding and decoding a change of 1000 routes.
 func BenchmarkLargeFrame(b *testing.B) {
 	update := largeUpdate(1000)
 	frame, err := wire.Encode(update)
--- a/internal/wire/crash.go
+++ b/internal/wire/crash.go
@@ -2,14 +2,14 @@
 
 import "github.com/winchhead/winchhead/internal/suspects"
 
-// Crashes carries records of crashed instances that are new to the receiver, or that changed.
+// Crashes carries records of instance crashes that are new to the receiver or have changed.
 type Crashes struct{ Crashes []Crash }
 
-// Crash is a suspects.Crash whose time is told as an age, as the clocks of nodes differ.
+// Crash is a suspects.Crash with an age instead of a time, as the clocks of nodes differ.
 type Crash struct {
 	ID       suspects.CrashID
 	Instance string
-	// Age is in milliseconds.
+	// Age is the time since the crash in milliseconds.
 	Age      int64
 	Requests []suspects.Request
 }
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -11,9 +11,9 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// encoder writes the Avro encoding of fields. It uses the library's primitives
-// instead of its reflection over schemas: the library trusts the counts of
-// arrays that a peer declares, and takes a body that ends early as complete.
+// encoder writes fields in Avro encoding. It and decoder use the primitives of the
+// library instead of its reflection over schemas: that trusts the array lengths that a
+// peer declares and accepts a truncated body as complete.
 type encoder struct{ *avro.Writer }
 
 func (e encoder) long(value int64)      { e.WriteLong(value) }
@@ -21,7 +21,7 @@
 func (e encoder) text(value string)     { e.WriteString(value) }
 func (e encoder) bytes(value []byte)    { e.WriteBytes(value) }
 func (e encoder) boolean(value bool)    { e.WriteBool(value) }
-func (e encoder) small(value uint8)     { e.WriteInt(int32(value)) }
+func (e encoder) octet(value uint8)     { e.WriteInt(int32(value)) }
 
 func (e encoder) fixed(value []byte) { _, _ = e.Write(value) }
 
@@ -43,7 +43,7 @@
 	e.text(string(record.Node))
 	e.unsigned(uint64(record.Incarnation))
 	e.unsigned(record.Sequence)
-	e.small(uint8(record.State))
+	e.octet(uint8(record.State))
 	e.text(record.Region)
 	e.text(record.Zone)
 	e.text(record.PeerAddress)
@@ -65,7 +65,7 @@
 	encodeArray(e, entry.Members, e.listedMember)
 }
 
-// listedMember leaves out the node, which the entry names.
+// listedMember omits the node, which is encoded once in the entry.
 func (e encoder) listedMember(member membership.ListedMember) {
 	e.text(member.PeerAddress)
 	e.text(member.Region)
@@ -75,7 +75,7 @@
 }
 
 func (e encoder) key(key snapshot.Key) {
-	e.small(uint8(key.Kind))
+	e.octet(uint8(key.Kind))
 	e.text(key.Name)
 }
 
@@ -84,7 +84,7 @@
 	e.bytes(resource.Body)
 }
 
-// encodeArray writes one Avro block and the end mark.
+// encodeArray writes the items as one Avro block, followed by the end-of-array marker.
 func encodeArray[T any](e encoder, items []T, encodeItem func(T)) {
 	if len(items) > 0 {
 		e.long(int64(len(items)))
@@ -95,8 +95,8 @@
 	e.long(0)
 }
 
-// decoder reads the Avro encoding of fields from a body whose size bounds every
-// length in it.
+// decoder reads fields in Avro encoding. The size of the body limits all lengths that
+// the body declares.
 type decoder struct {
 	*avro.Reader
 	bodyBytes int
@@ -109,15 +109,15 @@
 func (d decoder) unsigned() uint64 {
 	value := d.ReadLong()
 	if value < 0 {
-		d.fail("negative number")
+		d.fail("negative value")
 	}
 	return uint64(value)
 }
 
-func (d decoder) small() uint8 {
+func (d decoder) octet() uint8 {
 	value := d.ReadInt()
 	if value < 0 || value > math.MaxUint8 {
-		d.fail("small number out of range")
+		d.fail("value out of the range of 8 bits")
 	}
 	return uint8(value)
 }
@@ -127,7 +127,7 @@
 func (d decoder) bytes() []byte {
 	length := d.ReadLong()
 	if length < 0 || length > int64(d.bodyBytes) {
-		d.fail("length beyond the frame")
+		d.fail("length exceeds the frame")
 		return nil
 	}
 	if length == 0 || d.Error != nil {
@@ -163,7 +163,7 @@
 		Node:        membership.NodeID(d.text()),
 		Incarnation: membership.Incarnation(d.unsigned()),
 		Sequence:    d.unsigned(),
-		State:       membership.State(d.small()),
+		State:       membership.State(d.octet()),
 		Region:      d.text(),
 		Zone:        d.text(),
 		PeerAddress: d.text(),
@@ -186,7 +186,7 @@
 	entry := ListedEntry{
 		Node:    membership.NodeID(d.text()),
 		Order:   d.long(),
-		Members: decodeArray(d, minListedBytes, d.listedMember),
+		Members: decodeArray(d, minListedMemberBytes, d.listedMember),
 	}
 	for i := range entry.Members {
 		entry.Members[i].Node = entry.Node
@@ -205,15 +205,16 @@
 }
 
 func (d decoder) key() snapshot.Key {
-	return snapshot.Key{Kind: snapshot.Kind(d.small()), Name: d.text()}
+	return snapshot.Key{Kind: snapshot.Kind(d.octet()), Name: d.text()}
 }
 
 func (d decoder) resource() snapshot.Resource {
 	return snapshot.Resource{Key: d.key(), Body: d.bytes()}
 }
 
-// decodeArray reads Avro blocks. Each item takes at least minItemBytes of the
-// body, so that a declared count never allocates more than the frame justifies.
+// decodeArray reads an array of Avro blocks. It rejects arrays longer than the body can
+// hold at minItemBytes per item, so that a declared length cannot make it allocate memory
+// out of proportion to the frame.
 func decodeArray[T any](d decoder, minItemBytes int, decodeItem func() T) []T {
 	var items []T
 	limit := int64(d.bodyBytes / minItemBytes)
@@ -223,7 +224,7 @@
 			return items
 		}
 		if count < 0 || count > limit-int64(len(items)) {
-			d.fail("array count beyond the frame")
+			d.fail("array length exceeds the frame")
 			return nil
 		}
 		for range count {
@@ -235,8 +236,8 @@
 	}
 }
 
-// finish reports whether the body was read exactly to its end.
-func (d decoder) finish() error {
+// checkEnd returns an error if decoding failed or if the body was not read to its end.
+func (d decoder) checkEnd() error {
 	if d.Error != nil {
 		return eris.Wrap(ErrFrame, d.Error.Error())
 	}
--- a/internal/wire/fleet_changes.go
+++ b/internal/wire/fleet_changes.go
@@ -2,16 +2,16 @@
 
 import "github.com/winchhead/winchhead/internal/snapshot"
 
-// FleetChanges carries changes of instances and evacuations ahead of the documents that hold
+// FleetChanges carries changes of instances and evacuations before the documents that contain
 // them.
 type FleetChanges struct{ Changes []FleetChange }
 
-// FleetChange is a snapshot.Change in its encoded form.
+// FleetChange is a snapshot.Change as encoded in a message.
 type FleetChange struct {
 	Revision snapshot.Revision
-	// Resource has no body if it is gone.
+	// Resource has no body if the resource was removed.
 	Resource snapshot.Resource
-	// Age is how long ago a reader read of it, in milliseconds.
+	// Age is how long ago a reader read the change from the source, in milliseconds.
 	Age int64
 }
 
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -8,49 +8,50 @@
 	"github.com/rotisserie/eris"
 )
 
-// DefaultMaxFrameBytes bounds a frame when Limits sets no other bound. It leaves
-// room for a whole document of a few thousand resources.
+// DefaultMaxFrameBytes is the limit of a frame unless Limits sets another one. It is
+// large enough for a full document of a few thousand resources.
 const DefaultMaxFrameBytes = 8 << 20
 
 const (
-	// readerBufferBytes is small because a process may hold many idle links.
+	// readerBufferBytes is small because a process may have many idle links.
 	readerBufferBytes = 512
-	// maxLengthBytes bounds the encoded length of a frame.
+	// maxLengthBytes limits the size of the length field of a frame.
 	maxLengthBytes = 4
-	// typeBytes is the size of the type in a frame.
+	// typeBytes is the size of the type field of a frame.
 	typeBytes = 1
-	// directAllocationBytes is the largest body allocated on the peer's word; a
-	// larger one grows as its bytes arrive.
+	// directAllocationBytes is the largest content allocated from the declared length
+	// alone; the buffer of larger content grows as its bytes arrive.
 	directAllocationBytes = 16 << 10
 )
 
-// ErrFrame is the cause of every error about a frame that breaks the protocol or
-// its limits, as opposed to errors of the connection.
+// ErrFrame is wrapped by all errors about frames that violate the protocol or its
+// limits, as opposed to errors of the connection.
 var ErrFrame = eris.New("malformed frame")
 
-// Limits bounds what a peer can make a node hold.
+// Limits limits how much memory a peer can make a node use.
 type Limits struct {
-	// MaxFrameBytes bounds type and body of a frame; zero: DefaultMaxFrameBytes.
+	// MaxFrameBytes limits the type and body of a frame; zero means DefaultMaxFrameBytes.
 	MaxFrameBytes int
 }
 
-// Reader reads frames from a connection. It is for one goroutine.
+// Reader reads messages from a connection. It is not safe for concurrent use.
 type Reader struct {
 	source *bufio.Reader
 	limits Limits
-	// parts are those of a large frame that have come, isWhole is set where none may come.
-	parts   []byte
-	isWhole bool
+	// parts holds the parts of a large frame received so far. reassembled is set on the reader
+	// of a frame made of parts, in which no further parts may occur.
+	parts       []byte
+	reassembled bool
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader, limits Limits) *Reader {
 	reader := &Reader{source: bufio.NewReaderSize(r, readerBufferBytes)}
 	reader.SetLimits(limits)
 	return reader
 }
 
-// SetLimits changes the limits for the frames that follow.
+// SetLimits sets the limits of the frames read from now on.
 func (r *Reader) SetLimits(limits Limits) {
 	if limits.MaxFrameBytes <= 0 {
 		limits.MaxFrameBytes = DefaultMaxFrameBytes
@@ -58,9 +59,9 @@
 	r.limits = limits
 }
 
-// Next returns the next message and the bytes read for it, parts of a larger one included
-// that came before it. After an error the connection is of no further use. The error wraps
-// ErrFrame when the peer broke the protocol.
+// Next returns the next message and the number of bytes read, which includes parts of a larger
+// message that arrived before it. After an error the connection must be closed. The error
+// wraps ErrFrame if the peer violated the protocol.
 func (r *Reader) Next() (message Message, frameBytes int, err error) {
 	for {
 		messageType, body, size, err := r.nextFrame()
@@ -68,7 +69,7 @@
 			return nil, 0, err
 		}
 		frameBytes += size
-		if isPart := messageType == TypePart || messageType == TypeLastPart; isPart && !r.isWhole {
+		if isPart := messageType == TypePart || messageType == TypeLastPart; isPart && !r.reassembled {
 			message, err = r.addPart(messageType, body)
 		} else {
 			message, err = r.decode(messageType, body)
@@ -79,7 +80,7 @@
 	}
 }
 
-// nextFrame returns the type and the body of a frame, and the size of the frame.
+// nextFrame reads a frame and returns its type, its body and its total size.
 func (r *Reader) nextFrame() (messageType Type, body []byte, size int, err error) {
 	length, lengthBytes, err := r.readLength()
 	if err != nil {
@@ -94,11 +95,11 @@
 
 func (r *Reader) decode(messageType Type, body []byte) (Message, error) {
 	if messageType&Compressed != 0 {
-		unpacked, err := decompress(body, r.limits.MaxFrameBytes)
+		decompressed, err := decompress(body, r.limits.MaxFrameBytes)
 		if err != nil {
 			return nil, err
 		}
-		body = unpacked
+		body = decompressed
 	}
 	return Decode(messageType&^Compressed, body)
 }
@@ -107,7 +108,7 @@
 	for shift := 0; lengthBytes < maxLengthBytes; shift += 7 {
 		next, err := r.source.ReadByte()
 		if err != nil {
-			return 0, 0, endOfFrame(err, lengthBytes > 0)
+			return 0, 0, truncationError(err, lengthBytes > 0)
 		}
 		lengthBytes++
 		length |= int(next&0x7f) << shift
@@ -115,7 +116,7 @@
 			return length, lengthBytes, r.checkLength(length)
 		}
 	}
-	return 0, 0, eris.Wrap(ErrFrame, "length too long")
+	return 0, 0, eris.Wrap(ErrFrame, "length field too long")
 }
 
 func (r *Reader) checkLength(length int) error {
@@ -123,7 +124,7 @@
 		return eris.Wrap(ErrFrame, "empty")
 	}
 	if length > r.limits.MaxFrameBytes {
-		return eris.Wrapf(ErrFrame, "%d bytes, limit %d", length, r.limits.MaxFrameBytes)
+		return eris.Wrapf(ErrFrame, "frame of %d bytes exceeds the limit of %d bytes", length, r.limits.MaxFrameBytes)
 	}
 	return nil
 }
@@ -132,7 +133,7 @@
 	if length <= directAllocationBytes {
 		content := make([]byte, length)
 		_, err := io.ReadFull(r.source, content)
-		return content, endOfFrame(err, true)
+		return content, truncationError(err, true)
 	}
 	content, err := io.ReadAll(io.LimitReader(r.source, int64(length)))
 	if err == nil && len(content) < length {
@@ -141,15 +142,16 @@
 	return content, err
 }
 
-// endOfFrame tells a connection that ended between frames from a cut frame.
-func endOfFrame(err error, inFrame bool) error {
+// truncationError distinguishes a connection that ended between frames from one that ended
+// within a frame: the latter gives io.ErrUnexpectedEOF.
+func truncationError(err error, inFrame bool) error {
 	if inFrame && err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// appendFrame puts the length and type before a body.
+// appendFrame returns the frame of a body, with its length and type.
 func appendFrame(messageType Type, body []byte) []byte {
 	frame := make([]byte, 0, maxLengthBytes+typeBytes+len(body))
 	frame = binary.AppendUvarint(frame, uint64(typeBytes+len(body)))
--- a/internal/wire/part.go
+++ b/internal/wire/part.go
@@ -8,12 +8,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// PartBytes is the most that one part of a large frame carries: 26 ms on a link of 5 Mbit/s,
-// which is how long a small frame waits behind one.
+// PartBytes is the maximum size of a part of a large frame. A part takes 26 ms on a link of
+// 5 Mbit/s, which is how long a small frame has to wait for it.
 const PartBytes = 16 << 10
 
-// Split cuts a large frame into frames that carry its parts, so that others can be written in
-// between; a small one is returned as it is. A Reader puts the parts together again.
+// Split splits a large frame into frames that carry its parts, so that other frames can be sent
+// in between. It returns a small frame unchanged. A Reader reassembles the parts.
 func Split(frame []byte) [][]byte {
 	if len(frame) <= PartBytes {
 		return [][]byte{frame}
@@ -27,23 +27,24 @@
 	return parts
 }
 
-// addPart takes a part of a large frame. It returns the message once the last one has come.
+// addPart adds a part of a large frame. It returns the message after the last part, and nil
+// before.
 func (r *Reader) addPart(part Type, chunk []byte) (Message, error) {
 	if len(r.parts)+len(chunk) > r.limits.MaxFrameBytes+maxLengthBytes {
-		return nil, eris.Wrapf(ErrFrame, "parts of over %d bytes", r.limits.MaxFrameBytes)
+		return nil, eris.Wrapf(ErrFrame, "parts exceed the frame limit of %d bytes", r.limits.MaxFrameBytes)
 	}
 	r.parts = append(r.parts, chunk...)
 	if part == TypePart {
 		return nil, nil
 	}
-	whole := NewReader(bytes.NewReader(r.parts), r.limits)
-	whole.isWhole = true
+	inner := NewReader(bytes.NewReader(r.parts), r.limits)
+	inner.reassembled = true
 	r.parts = nil
-	message, _, err := whole.Next()
+	message, _, err := inner.Next()
 	if err != nil {
-		return nil, eris.Wrapf(ErrFrame, "put together: %v", err)
+		return nil, eris.Wrapf(ErrFrame, "reassemble the parts: %v", err)
 	}
-	if _, err := whole.source.ReadByte(); err != io.EOF {
+	if _, err := inner.source.ReadByte(); err != io.EOF {
 		return nil, eris.Wrap(ErrFrame, "bytes after the last part of a frame")
 	}
 	return message, nil
--- a/internal/wire/part_test.go
+++ b/internal/wire/part_test.go
@@ -12,7 +12,7 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// drawLargeUpdate has a body of a size that compression does not change much.
+// drawLargeUpdate returns an update with a body that compression hardly makes smaller.
 func drawLargeUpdate(t *rapid.T) *wire.Update {
 	size := rapid.IntRange(0, 5*wire.PartBytes).Draw(t, "bytes")
 	body := make([]byte, size)
@@ -30,9 +30,9 @@
 	return update
 }
 
-// TestPartsBecomeTheFrame: a large frame in parts, with small ones in between, brings the same
-// messages.
-func TestPartsBecomeTheFrame(t *testing.T) {
+// TestPartsAreReassembled checks that large frames sent in parts, with small frames in between,
+// are received as the same messages.
+func TestPartsAreReassembled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream bytes.Buffer
 		var large []*wire.Update
@@ -68,36 +68,36 @@
 			switch m := message.(type) {
 			case *wire.Heartbeat:
 				if m.Interval != int64(nextSmall) {
-					t.Fatalf("heartbeat %d in place of %d", m.Interval, nextSmall)
+					t.Fatalf("got heartbeat %d, want %d", m.Interval, nextSmall)
 				}
 				nextSmall++
 			case *wire.Update:
 				if !bytes.Equal(m.Changed[0].Body, large[nextLarge].Changed[0].Body) {
-					t.Fatal("another body")
+					t.Fatal("the body differs")
 				}
 				nextLarge++
 			}
 		}
 		if read != sent {
-			t.Fatalf("%d bytes read of %d", read, sent)
+			t.Fatalf("%d of %d bytes read", read, sent)
 		}
 	})
 }
 
-// TestWrongParts: parts that are no frame together break the protocol.
-func TestWrongParts(t *testing.T) {
+// TestInvalidParts checks that parts that do not form one frame are rejected with ErrFrame.
+func TestInvalidParts(t *testing.T) {
 	announce, err := wire.Encode(&wire.Announce{})
 	qt.Assert(t, err, qt.IsNil)
-	part := func(kind wire.Type, body []byte) []byte {
-		return append([]byte{byte(len(body) + 1), byte(kind)}, body...)
+	part := func(messageType wire.Type, body []byte) []byte {
+		return append([]byte{byte(len(body) + 1), byte(messageType)}, body...)
 	}
 	for name, stream := range map[string][]byte{
-		"no frame":             part(wire.TypeLastPart, []byte{9, 9, 9}),
-		"nothing":              part(wire.TypeLastPart, nil),
-		"part of a part":       part(wire.TypeLastPart, part(wire.TypeLastPart, announce)),
-		"bytes behind":         part(wire.TypeLastPart, append(append([]byte{}, announce...), 0)),
-		"cut":                  part(wire.TypeLastPart, announce[:len(announce)-1]),
-		"more than is allowed": bytes.Repeat(part(wire.TypePart, make([]byte, 100)), 20),
+		"not a frame":           part(wire.TypeLastPart, []byte{9, 9, 9}),
+		"empty part":            part(wire.TypeLastPart, nil),
+		"part within a part":    part(wire.TypeLastPart, part(wire.TypeLastPart, announce)),
+		"bytes after the frame": part(wire.TypeLastPart, append(append([]byte{}, announce...), 0)),
+		"truncated":             part(wire.TypeLastPart, announce[:len(announce)-1]),
+		"parts above the limit": bytes.Repeat(part(wire.TypePart, make([]byte, 100)), 20),
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := wire.NewReader(bytes.NewReader(stream), wire.Limits{MaxFrameBytes: 1 << 10})
--- a/internal/wire/type_name.go
+++ b/internal/wire/type_name.go
@@ -1,6 +1,6 @@
 package wire
 
-// typeNames are the labels of the byte counters.
+// typeNames holds the names of the types, which label the byte counters.
 var typeNames = map[Type]string{
 	TypeHello:         "hello",
 	TypeHeartbeat:     "heartbeat",
@@ -22,7 +22,7 @@
 	TypeUpdateWithOrigin: "update_with_origin",
 }
 
-// String returns the name of the type in lower case.
+// String returns the name of the type as in the labels of metrics.
 func (t Type) String() string {
 	if name, known := typeNames[t]; known {
 		return name
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,10 +19,10 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// headerBytes is the size of length and type of a frame below 128 bytes.
+// headerBytes is the size of the length and the type of a frame below 128 bytes.
 const headerBytes = 2
 
-// messages draws any message, with nil for empty slices as Decode returns them.
+// messages generates messages of all types. Empty slices are nil, as Decode returns them.
 func messages() *rapid.Generator[wire.Message] {
 	number := rapid.Uint64Range(0, math.MaxInt64)
 	version := rapid.Custom(func(t *rapid.T) snapshot.Version {
@@ -33,11 +33,11 @@
 	var (
 		node        = rapid.Make[membership.NodeID]()
 		positive    = rapid.Int64Range(0, math.MaxInt64)
-		small       = rapid.Byte()
+		octet       = rapid.Byte()
 		body        = rapid.SliceOfN(rapid.Byte(), 1, 40)
 		anyNumber   = rapid.Int64()
 		text        = rapid.String()
-		fixed64s    = orNil(rapid.Uint64())
+		fixed64s    = sliceOrNil(rapid.Uint64())
 		incarnation = rapid.Custom(func(t *rapid.T) membership.Incarnation {
 			return membership.Incarnation(number.Draw(t, "incarnation"))
 		})
@@ -45,7 +45,7 @@
 	record := rapid.Custom(func(t *rapid.T) membership.Record {
 		return membership.Record{
 			Node: node.Draw(t, "node"), Incarnation: incarnation.Draw(t, "i"), Sequence: number.Draw(t, "s"),
-			State: membership.State(small.Draw(t, "state")), Region: text.Draw(t, "region"), Zone: text.Draw(t, "zone"),
+			State: membership.State(octet.Draw(t, "state")), Region: text.Draw(t, "region"), Zone: text.Draw(t, "zone"),
 			PeerAddress: text.Draw(t, "peer"), DataAddress: text.Draw(t, "data"), Service: text.Draw(t, "service"),
 			Slots: int(anyNumber.Draw(t, "slots")),
 		}
@@ -55,7 +55,7 @@
 			Sequence: number.Draw(t, "s"), Observer: node.Draw(t, "observer")}
 	})
 	key := rapid.Custom(func(t *rapid.T) snapshot.Key {
-		return snapshot.Key{Kind: snapshot.Kind(small.Draw(t, "kind")), Name: text.Draw(t, "name")}
+		return snapshot.Key{Kind: snapshot.Kind(octet.Draw(t, "kind")), Name: text.Draw(t, "name")}
 	})
 	resource := rapid.Custom(func(t *rapid.T) snapshot.Resource {
 		return snapshot.Resource{Key: key.Draw(t, "key"), Body: body.Draw(t, "body")}
@@ -68,25 +68,25 @@
 		case wire.TypeHello:
 			return &wire.Hello{Protocol: int(positive.Draw(t, "p")), Self: record.Draw(t, "self"),
 				Held: short.Draw(t, "held"), FleetDigest: rapid.Uint64().Draw(t, "digest"),
-				Purpose: wire.Purpose(small.Draw(t, "purpose")), Interval: anyNumber.Draw(t, "interval"),
+				Purpose: wire.Purpose(octet.Draw(t, "purpose")), Interval: anyNumber.Draw(t, "interval"),
 				Group: rapid.Bool().Draw(t, "group")}
 		case wire.TypeHeartbeat:
 			return &wire.Heartbeat{Interval: anyNumber.Draw(t, "interval"),
-				Reading: wire.Reading(small.Draw(t, "reading")), SourceAge: anyNumber.Draw(t, "age")}
+				Reading: wire.Reading(octet.Draw(t, "reading")), SourceAge: anyNumber.Draw(t, "age")}
 		case wire.TypeAnnounce:
 			return &wire.Announce{Version: short.Draw(t, "version")}
 		case wire.TypePull:
 			return &wire.Pull{Want: version.Draw(t, "want").Revision, Held: short.Draw(t, "held")}
 		case wire.TypeUpdate:
 			return &wire.Update{Base: version.Draw(t, "base").Revision, Target: version.Draw(t, "target"),
-				Changed: orNil(resource).Draw(t, "changed"), Removed: orNil(key).Draw(t, "removed")}
+				Changed: sliceOrNil(resource).Draw(t, "changed"), Removed: sliceOrNil(key).Draw(t, "removed")}
 		case wire.TypeUpdateWithOrigin:
 			return &wire.Update{Base: version.Draw(t, "base").Revision, Target: version.Draw(t, "target"),
-				Changed: orNil(resource).Draw(t, "changed"), Removed: orNil(key).Draw(t, "removed"),
+				Changed: sliceOrNil(resource).Draw(t, "changed"), Removed: sliceOrNil(key).Draw(t, "removed"),
 				Origin: &snapshot.Origin{Number: number.Draw(t, "number"), Epoch: number.Draw(t, "epoch")}}
 		case wire.TypeDigest:
 			return &wire.Digest{Held: short.Draw(t, "held"), FleetDigest: rapid.Uint64().Draw(t, "digest"),
-				SourceAge: anyNumber.Draw(t, "age"), Request: wire.DigestRequest(small.Draw(t, "request"))}
+				SourceAge: anyNumber.Draw(t, "age"), Request: wire.DigestRequest(octet.Draw(t, "request"))}
 		case wire.TypeRecords:
 			listed := rapid.Custom(func(t *rapid.T) wire.ListedEntry {
 				entry := wire.ListedEntry{Node: node.Draw(t, "node"), Order: anyNumber.Draw(t, "at")}
@@ -97,8 +97,8 @@
 				}
 				return entry
 			})
-			return &wire.Records{Records: orNil(record).Draw(t, "records"),
-				Observations: orNil(observation).Draw(t, "observations"), Listed: orNil(listed).Draw(t, "listed")}
+			return &wire.Records{Records: sliceOrNil(record).Draw(t, "records"),
+				Observations: sliceOrNil(observation).Draw(t, "observations"), Listed: sliceOrNil(listed).Draw(t, "listed")}
 		case wire.TypeRecordPull:
 			return &wire.RecordPull{Buckets: fixed64s.Draw(t, "buckets"), ListBuckets: fixed64s.Draw(t, "list"),
 				Reply: rapid.Bool().Draw(t, "reply")}
@@ -106,19 +106,19 @@
 			return &wire.Refusal{Version: version.Draw(t, "version"), Reason: text.Draw(t, "reason"), By: node.Draw(t, "by")}
 		case wire.TypeStatusReply:
 			return &wire.StatusReply{Node: node.Draw(t, "node"), Incarnation: incarnation.Draw(t, "i"),
-				Zone: text.Draw(t, "zone"), State: membership.State(small.Draw(t, "state")), Held: version.Draw(t, "held"),
+				Zone: text.Draw(t, "zone"), State: membership.State(octet.Draw(t, "state")), Held: version.Draw(t, "held"),
 				Generation: number.Draw(t, "generation"), Refused: version.Draw(t, "refused"),
 				Reason: text.Draw(t, "reason"), Conflict: version.Draw(t, "conflict"),
 				Reader: rapid.Bool().Draw(t, "reader"), SourceAge: anyNumber.Draw(t, "age")}
 		case wire.TypeGoodbye:
-			return &wire.Goodbye{Reason: wire.GoodbyeReason(small.Draw(t, "reason"))}
+			return &wire.Goodbye{Reason: wire.GoodbyeReason(octet.Draw(t, "reason"))}
 		case wire.TypeClaimRequest:
 			hash := rapid.SliceOfN(rapid.Byte(), 32, 32)
-			return &wire.ClaimRequest{Number: number.Draw(t, "number"), Action: wire.ClaimAction(small.Draw(t, "action")),
+			return &wire.ClaimRequest{Number: number.Draw(t, "number"), Action: wire.ClaimAction(octet.Draw(t, "action")),
 				Key: [32]byte(hash.Draw(t, "key")), Fingerprint: [32]byte(hash.Draw(t, "fingerprint")),
 				Holder: holder.Draw(t, "holder"), RunsFor: anyNumber.Draw(t, "runs"), Hold: anyNumber.Draw(t, "hold")}
 		case wire.TypeClaimReply:
-			return &wire.ClaimReply{Number: number.Draw(t, "number"), Verdict: wire.ClaimVerdict(small.Draw(t, "verdict")),
+			return &wire.ClaimReply{Number: number.Draw(t, "number"), Verdict: wire.ClaimVerdict(octet.Draw(t, "verdict")),
 				Holder: holder.Draw(t, "holder"), Running: rapid.Bool().Draw(t, "running")}
 		case wire.TypeCrashes:
 			request := rapid.Custom(func(t *rapid.T) suspects.Request {
@@ -127,27 +127,27 @@
 			})
 			crash := rapid.Custom(func(t *rapid.T) wire.Crash {
 				return wire.Crash{ID: suspects.CrashID(number.Draw(t, "id")), Instance: text.Draw(t, "instance"),
-					Age: anyNumber.Draw(t, "age"), Requests: orNil(request).Draw(t, "requests")}
+					Age: anyNumber.Draw(t, "age"), Requests: sliceOrNil(request).Draw(t, "requests")}
 			})
-			return &wire.Crashes{Crashes: orNil(crash).Draw(t, "crashes")}
+			return &wire.Crashes{Crashes: sliceOrNil(crash).Draw(t, "crashes")}
 		case wire.TypeFleetChanges:
 			change := rapid.Custom(func(t *rapid.T) wire.FleetChange {
 				return wire.FleetChange{Revision: version.Draw(t, "at").Revision, Resource: resource.Draw(t, "resource"), Age: anyNumber.Draw(t, "age")}
 			})
-			return &wire.FleetChanges{Changes: orNil(change).Draw(t, "changes")}
+			return &wire.FleetChanges{Changes: sliceOrNil(change).Draw(t, "changes")}
 		default:
 			return &wire.StatusRequest{}
 		}
 	})
 }
 
-func orNil[T any](item *rapid.Generator[T]) *rapid.Generator[[]T] {
+func sliceOrNil[T any](item *rapid.Generator[T]) *rapid.Generator[[]T] {
 	return rapid.Custom(func(t *rapid.T) []T {
 		return append([]T(nil), rapid.SliceOfN(item, 0, 4).Draw(t, "items")...)
 	})
 }
 
-func TestMessagesSurviveEncodingAndFraming(t *testing.T) {
+func TestEncodeAndReadRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfN(messages(), 1, 4).Draw(t, "messages")
 		var stream bytes.Buffer
@@ -170,9 +170,9 @@
 	})
 }
 
-// TestEncodingFollowsSchemas has the library read each body by its schema and
-// write it again: the same bytes show that protocol.avsc tells the truth.
-func TestEncodingFollowsSchemas(t *testing.T) {
+// TestEncodingMatchesSchemas checks that protocol.avsc describes the encoding: the Avro
+// library decodes each body by its schema and must encode it to the same bytes.
+func TestEncodingMatchesSchemas(t *testing.T) {
 	text, err := os.ReadFile("protocol.avsc")
 	qt.Assert(t, err, qt.IsNil)
 	cache := &avro.SchemaCache{}
@@ -194,7 +194,7 @@
 	})
 }
 
-// check is qt.Assert for a rapid.T, which is no testing.TB.
+// check is qt.Assert for a rapid.T, which is not a testing.TB.
 func check(t *rapid.T, got any, checker qt.Checker, args ...any) {
 	if err := checker.Check(got, args, func(string, any) {}); err != nil {
 		t.Fatalf("%v: got %#v, want %v", err, got, args)
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// long is the Avro encoding of a long.
+// long returns the Avro encoding of a long.
 func long(value int64) []byte {
 	writer := avro.NewWriter(nil, 16)
 	writer.WriteLong(value)
@@ -225,29 +225,29 @@
 func TestMalformedFrames(t *testing.T) {
 	version, short := make([]byte, 17), make([]byte, 9)
 	cases := []struct {
-		name  string
-		frame []byte
-		cut   bool // the connection ended: no fault of the frame
+		name      string
+		frame     []byte
+		truncated bool // the connection ended, which is not ErrFrame
 	}{
 		{name: "empty frame", frame: []byte{0}},
-		{name: "length never ends", frame: []byte{0xff, 0xff, 0xff, 0xff, 0xff}},
+		{name: "length without an end", frame: []byte{0xff, 0xff, 0xff, 0xff, 0xff}},
 		{name: "length above the limit", frame: []byte{0xff, 0xff, 0x7f, 1}},
-		{name: "length cut", frame: []byte{0x80}, cut: true},
-		{name: "body cut", frame: []byte{9, byte(wire.TypeRefusal), 2}, cut: true},
-		{name: "long body cut", frame: []byte{0xa0, 0x8d, 0x06, byte(wire.TypeUpdate), 2}, cut: true},
+		{name: "truncated length", frame: []byte{0x80}, truncated: true},
+		{name: "truncated body", frame: []byte{9, byte(wire.TypeRefusal), 2}, truncated: true},
+		{name: "truncated long body", frame: []byte{0xa0, 0x8d, 0x06, byte(wire.TypeUpdate), 2}, truncated: true},
 		{name: "unknown type", frame: []byte{1, 99}},
-		{name: "type zero", frame: []byte{1, 0}},
-		{name: "body ends early", frame: frameOf(wire.TypeAnnounce, short[:5])},
+		{name: "type 0", frame: []byte{1, 0}},
+		{name: "body too short", frame: frameOf(wire.TypeAnnounce, short[:5])},
 		{name: "bytes after the message", frame: frameOf(wire.TypeAnnounce, short, []byte{0})},
 		{name: "negative revision", frame: frameOf(wire.TypeAnnounce, long(-2), short[1:])},
-		{name: "number too long", frame: frameOf(wire.TypeAnnounce, bytes.Repeat([]byte{0xff}, 12), version)},
-		{name: "string beyond the frame", frame: frameOf(wire.TypeRefusal, version, long(1<<40))},
+		{name: "number with too many bytes", frame: frameOf(wire.TypeAnnounce, bytes.Repeat([]byte{0xff}, 12), version)},
+		{name: "string longer than the frame", frame: frameOf(wire.TypeRefusal, version, long(1<<40))},
 		{name: "string of negative length", frame: frameOf(wire.TypeRefusal, version, long(-1))},
-		{name: "array beyond the frame", frame: frameOf(wire.TypeRecordPull, long(1<<50))},
-		{name: "array count overflows", frame: frameOf(wire.TypeRecordPull, long(math.MinInt64), long(0))},
-		{name: "array of two blocks beyond the frame", frame: frameOf(wire.TypeUpdate, long(0), version,
+		{name: "array longer than the frame", frame: frameOf(wire.TypeRecordPull, long(1<<50))},
+		{name: "array length overflows", frame: frameOf(wire.TypeRecordPull, long(math.MinInt64), long(0))},
+		{name: "array of two blocks longer than the frame", frame: frameOf(wire.TypeUpdate, long(0), version,
 			long(1), make([]byte, 3), long(math.MaxInt64))},
-		{name: "boolean of two", frame: frameOf(wire.TypeRecordPull, long(0), long(0), []byte{2})},
+		{name: "boolean with the value 2", frame: frameOf(wire.TypeRecordPull, long(0), long(0), []byte{2})},
 		{name: "state out of range", frame: frameOf(wire.TypeHeartbeat, long(1), long(256), long(1))},
 	}
 	for _, test := range cases {
@@ -255,12 +255,12 @@
 			reader := wire.NewReader(bytes.NewReader(test.frame), wire.Limits{MaxFrameBytes: 1 << 20})
 			_, _, err := reader.Next()
 			qt.Assert(t, err, qt.IsNotNil)
-			qt.Assert(t, errors.Is(err, wire.ErrFrame), qt.Equals, !test.cut, qt.Commentf("%v", err))
+			qt.Assert(t, errors.Is(err, wire.ErrFrame), qt.Equals, !test.truncated, qt.Commentf("%v", err))
 		})
 	}
 }
 
-func TestQuietMessagesAreSmall(t *testing.T) {
+func TestHeartbeatIsSmall(t *testing.T) {
 	heartbeat, err := wire.Encode(&wire.Heartbeat{Interval: 5000, SourceAge: 2000})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(heartbeat) <= headerBytes+5, qt.IsTrue)
