--- a/internal/wire/claim.go
+++ b/internal/wire/claim.go
@@ -55,7 +55,7 @@
 	ClaimTaken    ClaimVerdict = 2 // another holder has the key: ClaimReply.Holder
 	ClaimConflict ClaimVerdict = 3 // another holder has the key for a different request
 	ClaimFull     ClaimVerdict = 4 // the replica cannot store more keys
-	ClaimFree     ClaimVerdict = 5 // nobody holds the key, or its grant has ended
+	ClaimFree     ClaimVerdict = 5 // nobody holds the key, or no longer holds it
 	ClaimReleased ClaimVerdict = 6 // the request's Holder has already released the key
 )
 
