--- a/internal/bench/faultproxy/faultproxy.go
+++ b/internal/bench/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
 // Package faultproxy puts a fault-injecting TCP proxy on one hop of a mesh. It
-// links toxiproxy and gives the faults that the experiments need typed names.
-// It decides neither when a fault happens nor what must hold meanwhile.
+// embeds toxiproxy and defines typed names for the faults that the experiments need.
+// When faults occur and what must hold during them is up to the callers.
 package faultproxy
 
 import (
@@ -16,43 +16,44 @@
 	"github.com/rs/zerolog"
 )
 
-// Direction tells which way of a connection a fault concerns.
+// Direction is the direction of a connection that a fault affects.
 type Direction string
 
 // The directions, seen from the side that opened the connection.
 const (
-	// TowardsServer concerns what the client sends.
+	// TowardsServer affects what the client sends.
 	TowardsServer Direction = "upstream"
-	// TowardsClient concerns what the server answers.
+	// TowardsClient affects what the server sends back.
 	TowardsClient Direction = "downstream"
 )
 
-// Kind is what a fault does to the bytes of a connection.
+// Kind is what a fault does to the data of a connection.
 type Kind string
 
 // The kinds of fault.
 const (
 	// Reset drops the first bytes of the direction and resets both sides.
 	Reset Kind = "reset_peer"
-	// CutAfter closes the connection once Fault.Bytes have passed.
+	// CutAfter closes the connection after Fault.Bytes bytes were forwarded.
 	CutAfter Kind = "limit_data"
-	// Stall lets nothing pass and keeps the connection open.
+	// Stall forwards nothing and keeps the connection open.
 	Stall Kind = "timeout"
-	// Delay adds Fault.Delay to all that passes.
+	// Delay delays all data by Fault.Delay.
 	Delay Kind = "latency"
-	// Throttle bounds the rate to Fault.BytesPerSecond.
+	// Throttle limits the rate to Fault.BytesPerSecond.
 	Throttle Kind = "bandwidth"
 )
 
-// Fault is one disturbance of a hop.
+// Fault describes one fault to inject on a hop.
 type Fault struct {
 	Kind      Kind
 	Direction Direction
-	// Delay matters to Delay only.
+	// Delay is used by the kind Delay only.
 	Delay time.Duration
-	// Bytes matters to CutAfter only.
+	// Bytes is used by the kind CutAfter only.
 	Bytes int64
-	// BytesPerSecond matters to Throttle only; it is rounded up to a kilobyte.
+	// BytesPerSecond is used by the kind Throttle only and is rounded up to a
+	// multiple of 1024.
 	BytesPerSecond int64
 }
 
@@ -87,32 +88,33 @@
 	}
 }
 
-// Proxy stands on one hop and passes everything on while it holds no fault.
+// Proxy is a TCP proxy on one hop. Without an injected fault it forwards everything.
 type Proxy struct {
 	proxy *toxiproxy.Proxy
-	// lock serialises changes: toxiproxy waits for each link while it changes.
+	// lock serializes changes, during which toxiproxy waits for each connection.
 	lock sync.Mutex
 }
 
-// quiet keeps toxiproxy from writing to standard error what it does to each connection.
-var quiet = sync.OnceFunc(func() { zerolog.SetGlobalLevel(zerolog.Disabled) })
+// disableToxiproxyLogs stops toxiproxy from logging every connection to standard error.
+var disableToxiproxyLogs = sync.OnceFunc(func() { zerolog.SetGlobalLevel(zerolog.Disabled) })
 
-// New starts a proxy from listen (IP:port, port 0 for any) to upstream.
+// New starts a proxy that listens on listen (IP:port, port 0 for any free port) and
+// forwards to upstream.
 func New(name, listen, upstream string) (*Proxy, error) {
-	quiet()
+	disableToxiproxyLogs()
 	server := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 	proxy := toxiproxy.NewProxy(server, name, listen, upstream)
 	if err := proxy.Start(); err != nil {
-		return nil, eris.Wrapf(err, "fault proxy %s at %s", name, listen)
+		return nil, eris.Wrapf(err, "start fault proxy %s on %s", name, listen)
 	}
 	return &Proxy{proxy: proxy}, nil
 }
 
-// Address returns where the proxy listens (IP:port).
+// Address returns the address that the proxy listens on (IP:port).
 func (p *Proxy) Address() string { return p.proxy.Listen }
 
-// Inject adds a fault to open and later connections. A fault of the same kind
-// and direction must be healed first.
+// Inject adds a fault to open and later connections. A previous fault of the same
+// kind and direction must be removed by Heal first.
 func (p *Proxy) Inject(fault Fault) error {
 	body, err := json.Marshal(fault.toxic())
 	if err != nil {
@@ -126,14 +128,14 @@
 	return nil
 }
 
-// Heal removes all faults. Connections that a fault has closed stay closed.
+// Heal removes all faults. Connections that a fault closed stay closed.
 func (p *Proxy) Heal(ctx context.Context) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.proxy.Toxics.ResetToxics(ctx)
 }
 
-// Refuse closes the listener and all connections, so that the hop refuses.
+// Refuse closes the listener and all connections, so that new connections are refused.
 func (p *Proxy) Refuse() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -147,13 +149,13 @@
 	if p.proxy.Enabled {
 		return nil
 	}
-	return eris.Wrap(p.proxy.Start(), "open the fault proxy again")
+	return eris.Wrap(p.proxy.Start(), "restart the fault proxy")
 }
 
-// Close ends the proxy and its connections.
+// Close closes the proxy and its connections.
 func (p *Proxy) Close() { p.Refuse() }
 
-// FreePorts returns different ports that were free on a host when it was asked.
+// FreePorts returns distinct ports that were free on host at the time of the call.
 func FreePorts(host string, count int) ([]int, error) {
 	ports := make([]int, count)
 	for i := range ports {
@@ -161,7 +163,7 @@
 		if err != nil {
 			return nil, eris.Wrapf(err, "no free port on %s", host)
 		}
-		defer listener.Close() // once all are found, so that they differ
+		defer listener.Close() // only after all ports are found, so that they are distinct
 		ports[i] = listener.Addr().(*net.TCPAddr).Port
 	}
 	return ports, nil
--- a/internal/bench/faultproxy/faultproxy_test.go
+++ b/internal/bench/faultproxy/faultproxy_test.go
@@ -13,7 +13,7 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// TestFaults shows what each fault does to a call, and that healing undoes it.
+// TestFaults checks what each fault does to a call, and that calls succeed after Heal.
 func TestFaults(t *testing.T) {
 	instance := backend.New(backend.Options{Name: "b"})
 	qt.Assert(t, instance.Start("127.0.0.1:0"), qt.IsNil)
--- a/internal/bench/faultproxy/silencer.go
+++ b/internal/bench/faultproxy/silencer.go
@@ -8,47 +8,48 @@
 	"github.com/rotisserie/eris"
 )
 
-// Silencer passes connections on. Told to fall silent, it keeps those that are open and
-// brings nothing more on them, in either direction and without a reset; later ones work.
-// toxiproxy can't tell open connections from later ones.
+// Silencer is a TCP proxy that can stall its open connections: after FallSilent they stay
+// open without a reset, but nothing more is forwarded on them in either direction. Later
+// connections work. toxiproxy can't tell open connections from later ones.
 type Silencer struct {
-	upstream string
-	listener net.Listener
-	passed   func(piece []byte)
+	upstream  string
+	listener  net.Listener
+	onForward func(chunk []byte)
 
 	mutex sync.Mutex
-	// round counts how often it fell silent; connections of earlier rounds are silent.
-	round  int
-	closed bool
-	conns  map[net.Conn]struct{}
+	// generation counts the calls of FallSilent; connections of earlier generations are silent.
+	generation int
+	closed     bool
+	conns      map[net.Conn]struct{}
 }
 
-// NewSilencer listens (IP:port, port 0 for any) and passes on to upstream. passed, unless
-// it is nil, is told of each piece that was brought, and may have the Silencer fall silent.
-func NewSilencer(listen, upstream string, passed func(piece []byte)) (*Silencer, error) {
+// NewSilencer listens on listen (IP:port, port 0 for any free port) and forwards to
+// upstream. onForward, unless it is nil, is called with each chunk that was forwarded, and
+// may call FallSilent.
+func NewSilencer(listen, upstream string, onForward func(chunk []byte)) (*Silencer, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		return nil, eris.Wrapf(err, "silencer at %s", listen)
+		return nil, eris.Wrapf(err, "silencer: listen on %s", listen)
 	}
-	if passed == nil {
-		passed = func([]byte) {}
+	if onForward == nil {
+		onForward = func([]byte) {}
 	}
-	s := &Silencer{upstream: upstream, listener: listener, passed: passed, conns: make(map[net.Conn]struct{})}
+	s := &Silencer{upstream: upstream, listener: listener, onForward: onForward, conns: make(map[net.Conn]struct{})}
 	go s.accept()
 	return s, nil
 }
 
-// Address returns where it listens (IP:port).
+// Address returns the address that the Silencer listens on (IP:port).
 func (s *Silencer) Address() string { return s.listener.Addr().String() }
 
-// FallSilent silences the connections that are open now.
+// FallSilent stops forwarding on the connections that are open now.
 func (s *Silencer) FallSilent() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.round++
+	s.generation++
 }
 
-// Close ends all connections, the silent ones too.
+// Close closes the listener and all connections, including the silent ones.
 func (s *Silencer) Close() {
 	_ = s.listener.Close()
 	s.mutex.Lock()
@@ -63,7 +64,7 @@
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
 		go s.connect(conn)
 	}
@@ -83,33 +84,33 @@
 		return
 	}
 	s.conns[client], s.conns[server] = struct{}{}, struct{}{}
-	var ways sync.WaitGroup
-	round := s.round
-	ways.Go(func() { s.pass(client, server, round) })
-	ways.Go(func() { s.pass(server, client, round) })
+	var directions sync.WaitGroup
+	generation := s.generation
+	directions.Go(func() { s.forward(client, server, generation) })
+	directions.Go(func() { s.forward(server, client, generation) })
 	go func() {
-		ways.Wait()
-		if !s.isSilent(round) {
-			s.end(client, server)
+		directions.Wait()
+		if !s.isSilent(generation) {
+			s.closeConns(client, server)
 		}
 	}()
 }
 
-// pass copies one way to its end, or until the connection is silent.
-func (s *Silencer) pass(from, to net.Conn, round int) {
-	piece := make([]byte, 16<<10)
+// forward copies one direction until it ends or the connection is silent.
+func (s *Silencer) forward(from, to net.Conn, generation int) {
+	chunk := make([]byte, 16<<10)
 	for {
-		count, err := from.Read(piece)
-		if s.isSilent(round) {
+		count, err := from.Read(chunk)
+		if s.isSilent(generation) {
 			return
 		}
-		if _, failed := to.Write(piece[:count]); failed != nil {
+		if _, writeErr := to.Write(chunk[:count]); writeErr != nil {
 			_ = from.Close()
 			return
 		}
-		s.passed(piece[:count])
+		s.onForward(chunk[:count])
 		if err == io.EOF {
-			_ = to.(*net.TCPConn).CloseWrite() // fails where the other side has gone
+			_ = to.(*net.TCPConn).CloseWrite() // fails when the other side is already closed
 			return
 		}
 		if err != nil {
@@ -119,13 +120,13 @@
 	}
 }
 
-func (s *Silencer) isSilent(round int) bool {
+func (s *Silencer) isSilent(generation int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.round != round
+	return s.generation != generation
 }
 
-func (s *Silencer) end(conns ...net.Conn) {
+func (s *Silencer) closeConns(conns ...net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, conn := range conns {
--- a/internal/bench/faultproxy/silencer_test.go
+++ b/internal/bench/faultproxy/silencer_test.go
@@ -12,7 +12,8 @@
 	"github.com/winchhead/winchhead/internal/bench/faultproxy"
 )
 
-// TestSilencer: open connections fall silent without an end, later ones work.
+// TestSilencer checks that FallSilent stalls open connections without closing them,
+// and that later connections work.
 func TestSilencer(t *testing.T) {
 	c := qt.New(t)
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/bench/process/pause_linux.go
+++ b/internal/bench/process/pause_linux.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// awaitStopped waits until every thread of a child process has stopped: a signal
-// to stop takes effect some time after it was sent.
+// awaitStopped waits until every thread of a child process has stopped: SIGSTOP
+// takes effect some time after it was sent.
 func awaitStopped(pid int) error {
 	for {
 		err := unix.Waitid(unix.P_PID, pid, nil, unix.WSTOPPED|unix.WNOWAIT, nil)
--- a/internal/bench/process/pause_other.go
+++ b/internal/bench/process/pause_other.go
@@ -2,5 +2,5 @@
 
 package process
 
-// awaitStopped does nothing: only Linux tells when a process has stopped.
+// awaitStopped does nothing: only on Linux can it be observed that a process has stopped.
 func awaitStopped(int) error { return nil }
--- a/internal/bench/process/process.go
+++ b/internal/bench/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs programs as child processes that a bench starts, stops,
-// kills and pauses by their ids.
+// Package process runs programs as child processes, which the benchmarks start,
+// stop, kill and pause.
 package process
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Process is one program that may run several times, one run after the other.
-// Stop, Kill, Pause and Resume must not be called at the same time as Start.
+// Process is a program that may be run several times, one run after the other.
+// Stop, Kill, Pause and Resume must not be called concurrently with Start.
 type Process struct {
 	binary    string
 	arguments []string
@@ -23,23 +23,23 @@
 	lock    sync.Mutex
 	command *exec.Cmd
 	done    chan struct{} // closed when the process has ended
-	failure error         // how it ended; read after done
+	exitErr error         // result of Wait; read only after done is closed
 }
 
-// New returns a process that does not run yet. Both its outputs go to logs; nil
-// drops them.
+// New returns a process that is not started yet. Its standard output and standard
+// error go to logs; nil discards them.
 func New(binary string, arguments []string, logs io.Writer) *Process {
 	done := make(chan struct{})
 	close(done)
 	return &Process{binary: binary, arguments: arguments, logs: logs, done: done}
 }
 
-// Start begins a run; there must be none.
+// Start starts the program, which must not be running.
 func (p *Process) Start() error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if Running(p.done) {
-		return eris.New("the process runs already")
+		return eris.New("the process is already running")
 	}
 	command := exec.Command(p.binary, p.arguments...)
 	command.Stdout, command.Stderr = p.logs, p.logs
@@ -50,12 +50,12 @@
 	p.command, p.done = command, done
 	go func() {
 		defer close(done)
-		p.failure = command.Wait()
+		p.exitErr = command.Wait()
 	}()
 	return nil
 }
 
-// Running reports whether a run that closes done at its end goes on.
+// Running reports whether the run that closes done at its end is still in progress.
 func Running(done <-chan struct{}) bool {
 	select {
 	case <-done:
@@ -65,7 +65,8 @@
 	}
 }
 
-// signal reaches the process by its id, and nothing once it has ended.
+// signal sends a signal to the process, and does nothing if it has ended or was
+// never started.
 func (p *Process) signal(signal os.Signal) error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -79,20 +80,21 @@
 	return err
 }
 
-// Stop makes a planned stop and waits for its end.
+// Stop makes a planned stop (SIGTERM) and waits until the process has ended.
 func (p *Process) Stop(ctx context.Context) error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
 	case <-p.Ended():
-		return eris.Wrap(p.failure, "the planned stop ended badly")
+		return eris.Wrap(p.exitErr, "the process failed during the planned stop")
 	case <-ctx.Done():
-		return eris.Wrap(ctx.Err(), "the planned stop goes on")
+		return eris.Wrap(ctx.Err(), "the planned stop did not finish in time")
 	}
 }
 
-// Kill ends the run at once and waits; without a run it does nothing.
+// Kill kills the process (SIGKILL) and waits until it has ended. It does nothing if
+// the process isn't running.
 func (p *Process) Kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
@@ -101,10 +103,10 @@
 	return nil
 }
 
-// Pause stops the process without its knowing and returns once it has stopped.
+// Pause suspends the process (SIGSTOP) and returns once it has stopped.
 func (p *Process) Pause() error {
 	if !Running(p.Ended()) {
-		return eris.New("the process doesn't run")
+		return eris.New("the process is not running")
 	}
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -112,10 +114,10 @@
 	return awaitStopped(p.command.Process.Pid)
 }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process (SIGCONT).
 func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
-// Ended is closed when the run is over.
+// Ended returns a channel that is closed when the current run has ended.
 func (p *Process) Ended() <-chan struct{} {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/bench/repeatjudge/repeatjudge.go
+++ b/internal/bench/repeatjudge/repeatjudge.go
@@ -1,6 +1,6 @@
-// Package repeatjudge judges, from what callers and instances saw, whether a fleet kept its
-// bound on repeats: in no window of time may a service get more arrivals beyond the first of
-// each request than a ratio of its requests and a slack.
+// Package repeatjudge checks, from what callers and instances observed, that a fleet kept its
+// limit on repeats: within any time window, the arrivals at a service beyond the first of each
+// request must not exceed a ratio of the service's requests plus a constant slack.
 package repeatjudge
 
 import (
@@ -10,59 +10,60 @@
 	"time"
 )
 
-// Bound is what a fleet may do.
+// Bound is the limit on repeats: in each Window at most Ratio times the requests plus Slack.
 type Bound struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// Seen is what one service saw, each by its moment.
+// Seen holds the times of the requests for one service and of their repeated arrivals.
 type Seen struct {
-	// Requests are those that were sent for the service, arrived or not.
+	// Requests are the times of the requests sent to the service, whether they arrived or not.
 	Requests []time.Duration
-	// Beyond are the arrivals beyond the first of each request, and all arrivals of calls
-	// that repeated runs made.
+	// Beyond are the times of the arrivals beyond the first of each request, and of all
+	// arrivals of onward calls made by repeated runs.
 	Beyond []time.Duration
 }
 
-// Worst is the window in which most of the bound was used.
-type Worst struct {
-	// Share of the bound that was used; above 1 it was broken.
+// Window describes one time window and how much of the bound it used.
+type Window struct {
+	// Share is the used share of the bound; above 1 the bound was exceeded.
 	Share float64
-	// From is when the window begins.
+	// From is the start of the window.
 	From             time.Duration
 	Beyond, Requests int
 	Allowed          float64
 }
 
-// String says what the window held.
-func (w Worst) String() string {
-	return fmt.Sprintf("%d arrivals beyond the first from %v on, for %d requests; allowed %.0f", w.Beyond, w.From, w.Requests, w.Allowed)
+// String describes the window and its limit.
+func (w Window) String() string {
+	return fmt.Sprintf("%d repeated arrivals in the window from %v on, for %d requests; allowed %.0f", w.Beyond, w.From, w.Requests, w.Allowed)
 }
 
-// Worst returns the worst window. The requests of a window are those in it, in the one
-// before it or in the one half a window before it, whichever holds most.
-func (s Seen) Worst(bound Bound) (worst Worst) {
+// Worst returns the window that used the largest share of the bound. The requests of a
+// window are those in it, in the window before it or in the window that starts half a window
+// earlier, whichever has most.
+func (s Seen) Worst(bound Bound) (worst Window) {
 	requests, beyond := slices.Sorted(slices.Values(s.Requests)), slices.Sorted(slices.Values(s.Beyond))
 	for _, from := range beyond {
-		held := Worst{
-			From: from, Beyond: within(beyond, from, from+bound.Window),
-			Requests: max(within(requests, from, from+bound.Window), within(requests, from-bound.Window, from),
-				within(requests, from-bound.Window/2, from+bound.Window/2)),
+		window := Window{
+			From: from, Beyond: countBetween(beyond, from, from+bound.Window),
+			Requests: max(countBetween(requests, from, from+bound.Window), countBetween(requests, from-bound.Window, from),
+				countBetween(requests, from-bound.Window/2, from+bound.Window/2)),
 		}
-		held.Allowed = bound.Ratio*float64(held.Requests) + bound.Slack
-		if held.Share = float64(held.Beyond) / held.Allowed; held.Share > worst.Share {
-			worst = held
+		window.Allowed = bound.Ratio*float64(window.Requests) + bound.Slack
+		if window.Share = float64(window.Beyond) / window.Allowed; window.Share > worst.Share {
+			worst = window
 		}
 	}
 	return worst
 }
 
-// within counts the moments from one to another; they are in order.
-func within(moments []time.Duration, from, to time.Duration) int {
-	first, _ := slices.BinarySearch(moments, from)
-	after, _ := slices.BinarySearchFunc(moments, to, func(moment, to time.Duration) int {
-		return cmp.Or(cmp.Compare(moment, to), -1) // behind the last one that is equal
+// countBetween counts the sorted times between from and to, both included.
+func countBetween(times []time.Duration, from, to time.Duration) int {
+	first, _ := slices.BinarySearch(times, from)
+	end, _ := slices.BinarySearchFunc(times, to, func(at, to time.Duration) int {
+		return cmp.Or(cmp.Compare(at, to), -1) // positions after the last equal time
 	})
-	return after - first
+	return end - first
 }
--- a/internal/bench/repeatjudge/repeatjudge_test.go
+++ b/internal/bench/repeatjudge/repeatjudge_test.go
@@ -9,36 +9,36 @@
 	"github.com/winchhead/winchhead/internal/bench/repeatjudge"
 )
 
-// every returns moments each step, from one to another.
-func every(step, from, to time.Duration) (moments []time.Duration) {
+// every returns the times from from (included) to to (excluded) at intervals of step.
+func every(step, from, to time.Duration) (times []time.Duration) {
 	for at := from; at < to; at += step {
-		moments = append(moments, at)
+		times = append(times, at)
 	}
-	return moments
+	return times
 }
 
 func TestWorst(t *testing.T) {
 	bound := repeatjudge.Bound{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 	for name, row := range map[string]struct {
 		seen repeatjudge.Seen
-		want repeatjudge.Worst
+		want repeatjudge.Window
 	}{
-		"nothing": {},
-		"all in one window": {
+		"no requests": {},
+		"all requests and repeats in one window": {
 			repeatjudge.Seen{Requests: every(100*time.Millisecond, 0, 10*time.Second), Beyond: every(time.Second, 0, 10*time.Second)},
-			repeatjudge.Worst{Share: 10.0 / 30, Beyond: 10, Requests: 100, Allowed: 30},
+			repeatjudge.Window{Share: 10.0 / 30, Beyond: 10, Requests: 100, Allowed: 30},
 		},
-		"requests of the window before": {
+		"requests in the window before the repeats": {
 			repeatjudge.Seen{Requests: every(100*time.Millisecond, 0, 10*time.Second), Beyond: every(100*time.Millisecond, 10*time.Second, 14*time.Second)},
-			repeatjudge.Worst{Share: 40.0 / 30, From: 10 * time.Second, Beyond: 40, Requests: 100, Allowed: 30},
+			repeatjudge.Window{Share: 40.0 / 30, From: 10 * time.Second, Beyond: 40, Requests: 100, Allowed: 30},
 		},
-		"both ends of a window count": {
+		"repeats at both ends of a window": {
 			repeatjudge.Seen{Beyond: []time.Duration{0, 10 * time.Second}},
-			repeatjudge.Worst{Share: 0.2, Beyond: 2, Allowed: 10},
+			repeatjudge.Window{Share: 0.2, Beyond: 2, Allowed: 10},
 		},
-		"two windows": {
+		"repeats in two windows": {
 			repeatjudge.Seen{Beyond: []time.Duration{0, 10*time.Second + 1}},
-			repeatjudge.Worst{Share: 0.1, Beyond: 1, Allowed: 10},
+			repeatjudge.Window{Share: 0.1, Beyond: 1, Allowed: 10},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
