--- a/internal/bench/goodput/chain.go
+++ b/internal/bench/goodput/chain.go
@@ -10,14 +10,14 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// callPath is the path of the back ends that call onward.
+// callPath is the path at which the back ends make onward calls.
 const callPath = backend.PathCall
 
-// chain is the way of one call through the services, which take turns.
+// chain describes one call that passes through the services in turn.
 type chain struct {
-	services []string // of the deployment, in turns
-	hosts    []string // one for each back end that a call passes
-	capacity float64  // calls per second that the slots allow
+	services []string // services of the deployment, called in turn
+	hosts    []string // host of each back end that a call passes
+	capacity float64  // calls per second that the slots of the back ends allow
 }
 
 func newChain(plan *deployment.Deployment, depth int, work time.Duration) chain {
@@ -27,27 +27,27 @@
 			slots[node.Inbound.Service] += node.Inbound.Slots
 		}
 	}
-	built := chain{}
+	result := chain{}
 	for _, service := range plan.Content.Services {
-		built.services = append(built.services, service.Name)
+		result.services = append(result.services, service.Name)
 	}
-	held := map[string]time.Duration{}
+	slotTime := map[string]time.Duration{}
 	for hop := range depth {
-		service := built.services[hop%len(built.services)]
-		built.hosts = append(built.hosts, host(service))
-		// A back end that calls onward holds its slot until the answer comes.
-		held[service] += time.Duration(depth-hop) * work
+		service := result.services[hop%len(result.services)]
+		result.hosts = append(result.hosts, serviceHost(service))
+		// A back end occupies a slot until its onward call is answered.
+		slotTime[service] += time.Duration(depth-hop) * work
 	}
-	built.capacity = math.Inf(1)
-	for service, span := range held {
-		built.capacity = min(built.capacity, float64(slots[service])/span.Seconds())
+	result.capacity = math.Inf(1)
+	for service, perCall := range slotTime {
+		result.capacity = min(result.capacity, float64(slots[service])/perCall.Seconds())
 	}
-	return built
+	return result
 }
 
-func host(service string) string { return service + ".bench" }
+func serviceHost(service string) string { return service + ".bench" }
 
-// onward returns the calls that follow the first ("host/path").
+// onward returns the calls after the first ("host/path").
 func (c chain) onward() []string {
 	var calls []string
 	for _, host := range c.hosts[1:] {
@@ -61,7 +61,7 @@
 	var text strings.Builder
 	for _, service := range c.services {
 		fmt.Fprintf(&text, "route(name=%q, host=%q, path=%q, to=%q, timeout=\"%dms\")\n",
-			service, host(service), callPath, service, timeout.Milliseconds())
+			service, serviceHost(service), callPath, service, timeout.Milliseconds())
 	}
 	return text.String()
 }
--- a/internal/bench/goodput/chain_test.go
+++ b/internal/bench/goodput/chain_test.go
@@ -11,7 +11,9 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-func TestCapacityOfChains(t *testing.T) {
+// TestChainCapacity checks the capacity and the onward calls of chains whose services
+// are called more than once.
+func TestChainCapacity(t *testing.T) {
 	plan := &deployment.Deployment{Content: snapshot.Content{Services: []snapshot.Service{{Name: "a"}, {Name: "b"}}}}
 	for _, service := range []string{"a", "a", "b"} {
 		plan.Nodes = append(plan.Nodes, deployment.Node{Settings: settings.Settings{Inbound: settings.Inbound{Service: service, Slots: 10}}})
@@ -21,12 +23,12 @@
 		capacity float64
 		onward   []string
 	}{
-		{1, 20 / 0.1, nil},                                      // a holds 1 unit of work
-		{2, 20 / 0.2, []string{"b.bench/call"}},                 // a holds 2, b 1
-		{3, 20 / 0.4, []string{"b.bench/call", "a.bench/call"}}, // a holds 3+1, b 2
+		{1, 20 / 0.1, nil},                                      // a is occupied for 1 unit of work
+		{2, 20 / 0.2, []string{"b.bench/call"}},                 // a for 2 units, b for 1
+		{3, 20 / 0.4, []string{"b.bench/call", "a.bench/call"}}, // a for 3+1 units, b for 2
 	} {
-		built := newChain(plan, row.depth, 100*time.Millisecond)
-		qt.Check(t, built.capacity, qt.Equals, row.capacity)
-		qt.Check(t, built.onward(), qt.DeepEquals, row.onward)
+		c := newChain(plan, row.depth, 100*time.Millisecond)
+		qt.Check(t, c.capacity, qt.Equals, row.capacity)
+		qt.Check(t, c.onward(), qt.DeepEquals, row.onward)
 	}
 }
--- a/internal/bench/goodput/goodput.go
+++ b/internal/bench/goodput/goodput.go
@@ -1,6 +1,6 @@
-// Package goodput measures how many calls a deployment answers in time as the
-// offered load passes its capacity, and compares the nodes as they are with the
-// same nodes whose retries, balance or shedding is a plain baseline.
+// Package goodput measures how many calls a deployment answers in time while the
+// offered load rises beyond its capacity. It compares the nodes with baselines that
+// replace their retry budget, load balancing or load shedding by a simple variant.
 package goodput
 
 import (
@@ -16,16 +16,17 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// Variant is one way to set the nodes.
+// Variant is one configuration of the nodes.
 type Variant struct {
 	Name      string
 	Overrides settings.Overrides
 }
 
-// noQueueLimit stands for a queue without bound.
+// noQueueLimit is a queue limit that is never reached.
 const noQueueLimit = "1000000"
 
-// Variants are the nodes as they are, and one baseline for each mechanism.
+// Variants are the nodes without changes, one baseline for each mechanism and one for
+// all three together.
 var Variants = []Variant{
 	{"winchhead", nil},
 	{"retries without budget", settings.Overrides{"outbound.retry_ratio": "1"}},
@@ -36,24 +37,24 @@
 	}},
 }
 
-// Options sets up a measurement.
+// Options configures a measurement.
 type Options struct {
 	Deployment *deployment.Deployment
-	// Binary is the winchhead binary.
+	// Binary is the path of the winchhead binary.
 	Binary string
-	// Variants to measure; nil takes Variants.
+	// Variants are the variants to measure; nil means all of Variants.
 	Variants []Variant
-	// Factors are the offered loads as shares of the capacity.
+	// Factors are the offered loads as multiples of the capacity.
 	Factors []float64
-	// Duration is how long each load is offered.
+	// Duration is the time for which each load is offered.
 	Duration time.Duration
-	// Depth is how many back ends one call passes, at least 1.
+	// Depth is the number of back ends that one call passes, at least 1.
 	Depth int
-	// Work is how long each back end works on a call before it calls onward.
+	// Work is how long each back end works on a call before its onward call.
 	Work time.Duration
-	// Timeout is what callers give.
+	// Timeout is the timeout of the callers.
 	Timeout time.Duration
-	// Progress is told of each point; nil drops it.
+	// Progress, if set, is called with each point.
 	Progress func(variant string, point Point)
 }
 
@@ -69,8 +70,8 @@
 type Curve struct {
 	Variant string  `json:"variant"`
 	Points  []Point `json:"points"`
-	// PeakGoodput is the best of the points; LastShare is the goodput of the last
-	// point as a share of it.
+	// PeakGoodput is the highest goodput of all points. LastShare is the goodput of
+	// the last point divided by PeakGoodput.
 	PeakGoodput float64 `json:"peak_goodput_per_second"`
 	LastShare   float64 `json:"last_share_of_peak"`
 }
@@ -81,7 +82,7 @@
 	Depth      int     `json:"depth"`
 	WorkMS     float64 `json:"work_ms"`
 	TimeoutMS  float64 `json:"timeout_ms"`
-	// Capacity is what the slots allow in calls per second.
+	// Capacity is the rate that the slots allow, in calls per second.
 	Capacity float64 `json:"capacity_per_second"`
 	Curves   []Curve `json:"curves"`
 }
@@ -92,7 +93,7 @@
 	bodyBytes    = 300
 )
 
-// Run measures each variant on a mesh of its own.
+// Run measures each variant on a separate mesh.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if options.Variants == nil {
 		options.Variants = Variants
@@ -119,18 +120,18 @@
 	if err != nil {
 		return Curve{}, err
 	}
-	curve, err := offer(ctx, running, options, variant, chain)
-	if closeError := running.Close(); err == nil {
-		err = closeError
+	curve, err := offerLoads(ctx, running, options, variant, chain)
+	if closeErr := running.Close(); err == nil {
+		err = closeErr
 	}
 	return curve, err
 }
 
-// offer offers each load in turn.
-func offer(ctx context.Context, running *mesh.Mesh, options Options, variant Variant, chain chain) (Curve, error) {
-	whole, cancel := context.WithTimeout(ctx, startTimeout)
+// offerLoads offers each load in turn and returns the points.
+func offerLoads(ctx context.Context, running *mesh.Mesh, options Options, variant Variant, chain chain) (Curve, error) {
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := running.AwaitWhole(whole); err != nil {
+	if err := running.AwaitWhole(startCtx); err != nil {
 		return Curve{}, err
 	}
 	curve := Curve{Variant: variant.Name}
@@ -165,7 +166,7 @@
 	}
 }
 
-// planner makes calls that may be repeated, so that retries matter.
+// planner plans calls that may be repeated, so that the nodes retry them.
 func (c chain) planner(run string, options Options) load.Planner {
 	return func(number uint64) load.Call {
 		return load.Call{
--- a/internal/bench/mesh/await.go
+++ b/internal/bench/mesh/await.go
@@ -12,38 +12,38 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// askInterval is the time between two questions to one node.
-const askInterval = 5 * time.Millisecond
+// pollInterval is the time between two requests to the same node.
+const pollInterval = 5 * time.Millisecond
 
-// readyState is the state that a node reports when it takes new work.
+// readyState is the state that a node reports when it accepts new requests.
 const readyState = "ready"
 
-// await asks a node until what it answers holds or ctx ends. missing says what
-// is still waited for, for the error.
-func await[T any](ctx context.Context, node *Node, ask func(context.Context, *admin.Client) (T, error), holds func(T) bool) error {
+// await polls a node until the response satisfies condition or ctx ends. The error
+// then contains the last response.
+func await[T any](ctx context.Context, node *Node, query func(context.Context, *admin.Client) (T, error), condition func(T) bool) error {
 	client := node.Admin()
-	ticker := time.NewTicker(askInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	var last string
+	var lastResponse string
 	for {
-		answer, err := ask(ctx, client)
+		response, err := query(ctx, client)
 		switch {
-		case err == nil && holds(answer):
+		case err == nil && condition(response):
 			return nil
 		case err == nil:
-			last = fmt.Sprintf("%+v", answer)
+			lastResponse = fmt.Sprintf("%+v", response)
 		case ctx.Err() == nil:
-			last = err.Error()
+			lastResponse = err.Error()
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Wrapf(ctx.Err(), "%s still has: %s", node.Name(), last)
+			return eris.Wrapf(ctx.Err(), "%s did not reach the expected state; last response: %s", node.Name(), lastResponse)
 		case <-ticker.C:
 		}
 	}
 }
 
-// awaitAll runs one wait per node at once.
+// awaitAll runs wait for all nodes concurrently.
 func awaitAll(ctx context.Context, nodes []*Node, wait func(context.Context, *Node) error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, node := range nodes {
@@ -52,18 +52,18 @@
 	return group.Wait()
 }
 
-func askStatus(ctx context.Context, client *admin.Client) (admin.NodeStatus, error) {
+func queryStatus(ctx context.Context, client *admin.Client) (admin.NodeStatus, error) {
 	return client.Status(ctx)
 }
 
-func askMembers(ctx context.Context, client *admin.Client) (admin.MemberList, error) {
+func queryMembers(ctx context.Context, client *admin.Client) (admin.MemberList, error) {
 	return client.Members(ctx)
 }
 
-// AwaitReady waits until the nodes hold a version and take new work, and sends
-// callers to each edge that does; no nodes means all.
+// AwaitReady waits until the nodes hold a configuration and accept new requests. Each
+// edge that does is added to Entries. Without nodes it waits for all of the mesh.
 func (m *Mesh) AwaitReady(ctx context.Context, nodes ...*Node) error {
-	return awaitAll(ctx, m.orAll(nodes), func(ctx context.Context, node *Node) error {
+	return awaitAll(ctx, m.nodesOrAll(nodes), func(ctx context.Context, node *Node) error {
 		err := m.AwaitState(ctx, node, readyState)
 		if err == nil && node.plan.Edge() {
 			m.Entries.Add(node.Outbound())
@@ -72,30 +72,30 @@
 	})
 }
 
-// AwaitState waits until a node holds a version and reports a state.
+// AwaitState waits until a node holds a configuration and reports a state.
 func (m *Mesh) AwaitState(ctx context.Context, node *Node, state string) error {
-	return await(ctx, node, askStatus, func(status admin.NodeStatus) bool {
+	return await(ctx, node, queryStatus, func(status admin.NodeStatus) bool {
 		return !status.Held.IsZero() && status.State == state
 	})
 }
 
-// AwaitRevision waits until the nodes hold at least a revision; no nodes means
-// all. It returns when the last one was seen to hold it.
+// AwaitRevision waits until the nodes, or all if none are given, hold a revision or a
+// later one. It returns the time at which this was observed for the last node.
 func (m *Mesh) AwaitRevision(ctx context.Context, revision snapshot.Revision, nodes ...*Node) (time.Time, error) {
-	err := awaitAll(ctx, m.orAll(nodes), func(ctx context.Context, node *Node) error {
-		return await(ctx, node, askStatus, func(status admin.NodeStatus) bool {
+	err := awaitAll(ctx, m.nodesOrAll(nodes), func(ctx context.Context, node *Node) error {
+		return await(ctx, node, queryStatus, func(status admin.NodeStatus) bool {
 			return status.Held.Revision >= revision
 		})
 	})
 	return time.Now(), err
 }
 
-// AwaitRefusal waits until the nodes report that they refused a revision, and
-// returns the reason of the first; no nodes means all.
+// AwaitRefusal waits until the nodes, or all if none are given, report that they
+// refused a revision. It returns the reason that the first node gives.
 func (m *Mesh) AwaitRefusal(ctx context.Context, revision snapshot.Revision, nodes ...*Node) (string, error) {
-	nodes = m.orAll(nodes)
+	nodes = m.nodesOrAll(nodes)
 	err := awaitAll(ctx, nodes, func(ctx context.Context, node *Node) error {
-		return await(ctx, node, askStatus, func(status admin.NodeStatus) bool {
+		return await(ctx, node, queryStatus, func(status admin.NodeStatus) bool {
 			return status.Refused != nil && status.Refused.Version.Revision == revision
 		})
 	})
@@ -104,16 +104,16 @@
 	}
 	status, err := nodes[0].Admin().Status(ctx)
 	if err != nil || status.Refused == nil {
-		return "", eris.Wrap(err, "the refusal is gone")
+		return "", eris.Wrap(err, "the node no longer reports the refusal")
 	}
 	return status.Refused.Reason, nil
 }
 
-// AwaitInstances waits until the nodes see exactly count instances of a service
-// that take new work; no nodes means all.
+// AwaitInstances waits until the nodes, or all if none are given, see exactly count
+// instances of a service that accept new requests.
 func (m *Mesh) AwaitInstances(ctx context.Context, service string, count int, nodes ...*Node) error {
-	return awaitAll(ctx, m.orAll(nodes), func(ctx context.Context, node *Node) error {
-		return await(ctx, node, askMembers, func(list admin.MemberList) bool {
+	return awaitAll(ctx, m.nodesOrAll(nodes), func(ctx context.Context, node *Node) error {
+		return await(ctx, node, queryMembers, func(list admin.MemberList) bool {
 			return readyInstances(list, service) == count
 		})
 	})
@@ -136,7 +136,7 @@
 		return err
 	}
 	counts := map[string]int{}
-	for _, node := range m.Beside() {
+	for _, node := range m.Sidecars() {
 		counts[node.Service()]++
 	}
 	for service, count := range counts {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (m *Mesh) orAll(nodes []*Node) []*Node {
+func (m *Mesh) nodesOrAll(nodes []*Node) []*Node {
 	if len(nodes) == 0 {
 		return m.nodes
 	}
--- a/internal/bench/mesh/backend.go
+++ b/internal/bench/mesh/backend.go
@@ -5,10 +5,11 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// Backend is the emulated back end beside a node. Its journal outlives Kill.
+// Backend is the emulated back end beside a node. Its journal is kept across Kill
+// and Restart.
 type Backend struct {
 	*backend.Backend
-	// Node is the name of the node beside it.
+	// Node is the name of its sidecar.
 	Node    string
 	address string
 }
@@ -22,5 +23,5 @@
 	return instance, instance.Restart()
 }
 
-// Restart listens again after Kill or Close.
+// Restart starts the back end again after Kill or Close, at the same address.
 func (b *Backend) Restart() error { return b.Start(b.address) }
--- a/internal/bench/mesh/embedded.go
+++ b/internal/bench/mesh/embedded.go
@@ -18,10 +18,10 @@
 	plan deployment.Node
 	logs io.Writer
 
-	lock    sync.Mutex
-	cancel  context.CancelFunc
-	done    chan struct{} // closed when the run is over
-	failure error         // how it ended; read after done
+	lock   sync.Mutex
+	cancel context.CancelFunc
+	done   chan struct{} // closed when the node has stopped
+	runErr error         // result of Run; read only after done is closed
 }
 
 func newEmbedded(plan deployment.Node, logs io.Writer) *embedded {
@@ -37,7 +37,7 @@
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if process.Running(e.done) {
-		return eris.New("the node runs already")
+		return eris.New("the node is already running")
 	}
 	logger, err := logging.New(e.logs, e.plan.Log.Level, e.plan.Log.Format)
 	if err != nil {
@@ -52,7 +52,7 @@
 	e.cancel, e.done = cancel, done
 	go func() {
 		defer close(done)
-		e.failure = node.Run(ctx)
+		e.runErr = node.Run(ctx)
 	}()
 	return nil
 }
@@ -64,13 +64,13 @@
 	e.lock.Unlock()
 	select {
 	case <-done:
-		return eris.Wrap(e.failure, "the planned stop ended badly")
+		return eris.Wrap(e.runErr, "the node failed during the planned stop")
 	case <-ctx.Done():
-		return eris.Wrap(ctx.Err(), "the planned stop goes on")
+		return eris.Wrap(ctx.Err(), "the planned stop did not finish in time")
 	}
 }
 
-// Kill is a planned stop: a part of this process cannot be ended otherwise.
+// Kill makes a planned stop: a node that runs in this process cannot be killed.
 func (e *embedded) Kill() error { return e.Stop(context.Background()) }
 
 func (*embedded) Pause() error  { return ErrUnsupported }
--- a/internal/bench/mesh/hops.go
+++ b/internal/bench/mesh/hops.go
@@ -9,22 +9,22 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// Hop names a connection of a node where a fault proxy may stand.
+// Hop identifies a connection to or from a node on which a fault proxy can be placed.
 type Hop string
 
 // The hops.
 const (
-	// HopBackend is from the node to the back end beside it.
+	// HopBackend is from the sidecar to its back end.
 	HopBackend Hop = "backend"
 	// HopData is from other nodes to the node's inbound proxy.
 	HopData Hop = "data"
 	// HopPlatform is from the node to the platform.
 	HopPlatform Hop = "platform"
-	// HopPeers is from other nodes' links to the node.
+	// HopPeers is from other nodes to the node's listener for peer links.
 	HopPeers Hop = "peers"
 )
 
-// hopKey names one fault proxy.
+// hopKey identifies one fault proxy.
 type hopKey struct {
 	node string
 	hop  Hop
@@ -32,18 +32,18 @@
 
 type hopTable map[hopKey]*faultproxy.Proxy
 
-// Hop returns the fault proxy on a hop of a node; it panics when Options.Hops
-// doesn't list the hop.
+// Hop returns the fault proxy on a hop of a node. It panics if there is none, such
+// as when Options.Hops doesn't list the hop.
 func (m *Mesh) Hop(node string, hop Hop) *faultproxy.Proxy {
 	proxy, ok := m.hops[hopKey{node, hop}]
 	if !ok {
-		panic("no fault proxy stands on hop " + string(hop) + " of " + node)
+		panic("there is no fault proxy on hop " + string(hop) + " of " + node)
 	}
 	return proxy
 }
 
-// install puts fault proxies on the hops of a node and points its settings at
-// them.
+// install starts fault proxies on the hops of a node and returns the node with
+// settings that point to them.
 func (t hopTable) install(hops []Hop, node deployment.Node) (deployment.Node, error) {
 	overrides := settings.Overrides{}
 	for _, hop := range hops {
@@ -68,19 +68,19 @@
 	return node.With(overrides)
 }
 
-// hopTarget returns where a hop leads, or "" when the node has no such hop, and
-// how to point the settings elsewhere.
+// hopTarget returns the address that a hop leads to, or "" if the node has no such
+// hop, and a function that sets another address in the node's settings.
 func hopTarget(hop Hop, node deployment.Node) (target string, apply func(settings.Overrides, string), err error) {
-	set := func(key string) func(settings.Overrides, string) {
+	setting := func(key string) func(settings.Overrides, string) {
 		return func(overrides settings.Overrides, address string) { overrides[key] = address }
 	}
 	switch hop {
 	case HopBackend:
-		return node.Inbound.Backend, set("inbound.backend"), nil
+		return node.Inbound.Backend, setting("inbound.backend"), nil
 	case HopData:
-		return node.Inbound.Listen, set("inbound.advertise"), nil
+		return node.Inbound.Listen, setting("inbound.advertise"), nil
 	case HopPeers:
-		return node.Peers.Listen, set("peers.advertise"), nil
+		return node.Peers.Listen, setting("peers.advertise"), nil
 	case HopPlatform:
 		platform, err := url.Parse(node.Platform.URL)
 		if err != nil {
--- a/internal/bench/mesh/mesh.go
+++ b/internal/bench/mesh/mesh.go
@@ -1,7 +1,7 @@
 // Package mesh runs a whole deployment on one machine: the emulated platform,
 // the emulated back ends and the nodes, in this process or as processes of the
 // winchhead binary, with fault proxies on the hops between them. The demo, the
-// soak and the integration tests stand on it. It judges nothing.
+// soak test, the benchmarks and the integration tests use it and do their own checks.
 package mesh
 
 import (
@@ -21,33 +21,32 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// Options sets up a Mesh.
+// Options configures a Mesh.
 type Options struct {
 	Deployment *deployment.Deployment
-	// Host is the loopback IP of all addresses; empty picks one that no other
-	// mesh uses.
+	// Host is the loopback IP of all addresses; empty picks one with NextHost.
 	Host string
 	// Binary is the path of the winchhead binary; empty runs the nodes in this
 	// process, where they cannot be paused and Kill is a planned stop.
 	Binary string
-	// Logs takes what the nodes log; nil drops it.
+	// Logs receives the logs of the nodes; nil discards them.
 	Logs io.Writer
-	// Overrides are settings of every node, by dotted key.
+	// Overrides are settings to change on every node, by dotted key.
 	Overrides settings.Overrides
-	// Hops lists where fault proxies stand; none by default.
+	// Hops lists the hops that get fault proxies; none by default.
 	Hops []Hop
-	// Platform sets the emulated platform; Content and Members are filled in.
+	// Platform configures the emulated platform. Content is set by Start.
 	Platform platform.Options
-	// Backend sets every emulated back end; Name, Slots, Connections and Outbound
-	// are filled in.
+	// Backend configures every emulated back end. Name, Slots, Connections and
+	// Outbound are set by Start.
 	Backend backend.Options
 }
 
 // Mesh is a running deployment.
 type Mesh struct {
-	// Platform is the emulated platform with its operators' side.
+	// Platform is the emulated platform, with the methods that operators use.
 	Platform *Platform
-	// Entries are the outbound addresses of the edges that run.
+	// Entries are the outbound addresses of the edges that are running and ready.
 	Entries *load.Entries
 
 	options  Options
@@ -57,7 +56,7 @@
 }
 
 // Start starts the platform, all back ends and all nodes. It doesn't wait until
-// they are ready.
+// the nodes are ready.
 func Start(ctx context.Context, options Options) (*Mesh, error) {
 	m := &Mesh{options: options, hops: hopTable{}, Entries: load.NewEntries()}
 	if err := m.start(ctx); err != nil {
@@ -82,7 +81,7 @@
 	return nil
 }
 
-// plan moves the deployment to the mesh's own addresses.
+// plan returns the deployment with the mesh's host and overrides.
 func (m *Mesh) plan() (*deployment.Deployment, error) {
 	host := m.options.Host
 	if host == "" {
@@ -95,7 +94,7 @@
 	return moved.Map(func(deployment.Node) (settings.Overrides, error) { return m.options.Overrides, nil })
 }
 
-// add starts a node and the back end beside it.
+// add starts a node and, unless it is an edge, its back end.
 func (m *Mesh) add(ctx context.Context, plan deployment.Node) error {
 	if !plan.Edge() {
 		instance, err := startBackend(m.options.Backend, plan)
@@ -123,7 +122,7 @@
 // Nodes returns all nodes.
 func (m *Mesh) Nodes() []*Node { return slices.Clone(m.nodes) }
 
-// Node returns the node of that name; it panics when the deployment has none.
+// Node returns the node with a name; it panics if the deployment has none.
 func (m *Mesh) Node(name string) *Node {
 	for _, node := range m.nodes {
 		if node.Name() == name {
@@ -133,31 +132,31 @@
 	panic("the deployment has no node " + name)
 }
 
-// Edges returns the nodes for callers.
+// Edges returns the nodes that stand alone and take requests from callers.
 func (m *Mesh) Edges() []*Node {
 	return slices.DeleteFunc(m.Nodes(), func(node *Node) bool { return !node.plan.Edge() })
 }
 
-// Beside returns the nodes beside back ends.
-func (m *Mesh) Beside() []*Node {
+// Sidecars returns the nodes beside back ends.
+func (m *Mesh) Sidecars() []*Node {
 	return slices.DeleteFunc(m.Nodes(), func(node *Node) bool { return node.plan.Edge() })
 }
 
 // Backends returns all back ends.
 func (m *Mesh) Backends() []*Backend { return slices.Clone(m.backends) }
 
-// Backend returns the back end beside the node of that name; it panics when
-// there is none.
+// Backend returns the back end beside the node with a name; it panics if there is
+// none.
 func (m *Mesh) Backend(node string) *Backend {
 	for _, instance := range m.backends {
 		if instance.Node == node {
 			return instance
 		}
 	}
-	panic("no back end stands beside " + node)
+	panic("there is no back end beside " + node)
 }
 
-// Journal returns what all back ends ran so far.
+// Journal returns the merged journals of what all back ends have run so far.
 func (m *Mesh) Journal() load.Journal {
 	records := make([]backend.JournalRecord, 0, len(m.backends))
 	for _, instance := range m.backends {
@@ -166,19 +165,20 @@
 	return load.MergeJournals(records...)
 }
 
-// Close ends everything at once, without a planned stop.
+// Close kills the nodes and back ends and stops the platform, without planned
+// stops of the nodes that are processes.
 func (m *Mesh) Close() error {
 	var group errgroup.Group
 	for _, node := range m.nodes {
 		group.Go(node.end)
 	}
-	failures := []error{group.Wait()}
+	errs := []error{group.Wait()}
 	m.hops.close()
 	for _, instance := range m.backends {
 		instance.Kill()
 	}
 	if m.Platform != nil {
-		failures = append(failures, m.Platform.close())
+		errs = append(errs, m.Platform.close())
 	}
-	return eris.Wrap(errors.Join(failures...), "end the mesh")
+	return eris.Wrap(errors.Join(errs...), "close the mesh")
 }
--- a/internal/bench/mesh/node.go
+++ b/internal/bench/mesh/node.go
@@ -11,25 +11,25 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// ErrUnsupported tells that nodes in this process cannot be paused.
-var ErrUnsupported = errors.New("only nodes that are processes can be paused")
+// ErrUnsupported means that nodes in this process cannot be paused.
+var ErrUnsupported = errors.New("only nodes that run as processes can be paused")
 
-// runner runs one node: as a process or in this one.
+// runner runs one node, as a process of its own or in this process.
 type runner interface {
-	// Start begins a run; there must be none.
+	// Start starts the node, which must not be running.
 	Start() error
-	// Stop makes a planned stop and waits for its end.
+	// Stop makes a planned stop and waits until the node has stopped.
 	Stop(ctx context.Context) error
-	// Kill ends the run, at once if it is a process, and waits; without a run it
-	// does nothing.
+	// Kill kills the node if it is a process, makes a planned stop otherwise, and
+	// waits until the node has stopped. It does nothing if the node isn't running.
 	Kill() error
 	Pause() error
 	Resume() error
-	// Ended is closed when the run is over.
+	// Ended returns a channel that is closed when the current run has ended.
 	Ended() <-chan struct{}
 }
 
-// Node is one node of a mesh. Its methods must not be called at the same time.
+// Node is one node of a mesh. Its methods must not be called concurrently.
 type Node struct {
 	mesh   *Mesh
 	plan   deployment.Node
@@ -42,26 +42,26 @@
 // Zone returns the node's zone.
 func (n *Node) Zone() string { return n.plan.Node.Zone }
 
-// Service returns the service of the back end beside it, or "".
+// Service returns the service of the back end beside the node, or "" for an edge.
 func (n *Node) Service() string { return n.plan.Inbound.Service }
 
-// Outbound returns where callers reach the node (IP:port).
+// Outbound returns the address that callers send requests to (IP:port).
 func (n *Node) Outbound() string { return n.plan.Outbound.Listen }
 
 // Inbound returns the address where other nodes send requests; empty for an edge.
 func (n *Node) Inbound() string { return n.plan.Inbound.Listen }
 
-// Peers returns the address where links of other nodes are taken.
+// Peers returns the address that accepts links from other nodes.
 func (n *Node) Peers() string { return n.plan.Peers.Listen }
 
-// AdminAddress returns where operators reach the node (IP:port).
+// AdminAddress returns the address of the node's admin API (IP:port).
 func (n *Node) AdminAddress() string { return n.plan.Admin.Listen }
 
-// Admin returns a client of its operators' HTTP.
+// Admin returns a client for the node's admin API.
 func (n *Node) Admin() *admin.Client { return admin.NewClient(n.plan.Admin.Listen) }
 
-// Start starts the node and puts it in the platform's list. It doesn't wait:
-// callers are sent to an edge once AwaitReady has seen that it is ready.
+// Start starts the node and adds it to the platform's membership list. It doesn't
+// wait: AwaitReady adds an edge to Mesh.Entries once the edge is ready.
 func (n *Node) Start(context.Context) error {
 	if err := n.runner.Start(); err != nil {
 		return eris.Wrapf(err, "start %s", n.Name())
@@ -70,8 +70,7 @@
 	return nil
 }
 
-// Replace makes a planned stop, starts the node again and waits until it is
-// ready.
+// Replace makes a planned stop, starts the node again and waits until it is ready.
 func (n *Node) Replace(ctx context.Context) error {
 	if err := n.Stop(ctx); err != nil {
 		return err
@@ -82,8 +81,8 @@
 	return n.mesh.AwaitReady(ctx, n)
 }
 
-// Stop makes a planned stop: callers and the platform's list are told, then the
-// node is asked to end. It returns when it has ended.
+// Stop makes a planned stop: it removes the node from Mesh.Entries, marks it as
+// leaving in the platform's membership list, stops it and waits until it has ended.
 func (n *Node) Stop(ctx context.Context) error {
 	n.mesh.Entries.Remove(n.Outbound())
 	n.AnnounceLeaving()
@@ -94,32 +93,32 @@
 	return nil
 }
 
-// AnnounceLeaving says in the platform's list that the machine is leaving. The
-// node itself is not told.
+// AnnounceLeaving marks the node as leaving in the platform's membership list. The
+// node itself is not notified.
 func (n *Node) AnnounceLeaving() {
 	leaving := n.plan.Member()
 	leaving.State = membership.ListedLeaving
 	n.mesh.Platform.PutMember(leaving)
 }
 
-// AnnounceStaying takes AnnounceLeaving back.
+// AnnounceStaying reverts AnnounceLeaving.
 func (n *Node) AnnounceStaying() { n.mesh.Platform.PutMember(n.plan.Member()) }
 
-// Kill ends the node at once. Neither callers nor the platform's list are told.
+// Kill kills the node. Mesh.Entries and the platform's membership list keep it.
 func (n *Node) Kill() error { return eris.Wrapf(n.runner.Kill(), "kill %s", n.Name()) }
 
-// Pause stops the node's process without ending it (SIGSTOP).
+// Pause suspends the node's process (SIGSTOP).
 func (n *Node) Pause() error { return eris.Wrapf(n.runner.Pause(), "pause %s", n.Name()) }
 
-// Resume wakes a paused node (SIGCONT).
+// Resume continues a paused node (SIGCONT).
 func (n *Node) Resume() error { return eris.Wrapf(n.runner.Resume(), "resume %s", n.Name()) }
 
-// Ended is closed when the node's current run is over.
+// Ended returns a channel that is closed when the node's current run has ended.
 func (n *Node) Ended() <-chan struct{} { return n.runner.Ended() }
 
 func (n *Node) end() error { return n.runner.Kill() }
 
-// nodeArguments are those of the program that runs a node.
+// nodeArguments returns the command-line arguments that run a node.
 func nodeArguments(plan deployment.Node) []string {
 	arguments := []string{"node"}
 	if plan.File != "" {
--- a/internal/bench/mesh/platform.go
+++ b/internal/bench/mesh/platform.go
@@ -19,7 +19,7 @@
 	served  chan error
 }
 
-// startPlatform serves where the nodes' settings point.
+// startPlatform serves the platform at the address in the nodes' settings.
 func startPlatform(options platform.Options, plan *deployment.Deployment) (*Platform, error) {
 	options.Content = plan.Content
 	emulated, err := platform.New(options)
@@ -28,13 +28,13 @@
 	}
 	target, err := url.Parse(plan.Nodes[0].Platform.URL)
 	if err != nil {
-		return nil, eris.Wrap(err, "address of the platform")
+		return nil, eris.Wrap(err, "parse the platform URL")
 	}
 	p := &Platform{Platform: emulated, address: target.Host}
 	return p, p.Return()
 }
 
-// Return serves again after Outage.
+// Return ends an Outage: the platform serves again.
 func (p *Platform) Return() error {
 	listener, err := net.Listen("tcp", p.address)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Outage refuses and closes all connections until Return.
+// Outage closes all connections and refuses new ones until Return.
 func (p *Platform) Outage() error {
 	if p.cancel == nil {
 		return nil
--- a/internal/bench/mesh/traffic.go
+++ b/internal/bench/mesh/traffic.go
@@ -10,14 +10,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// The metrics of a node that count control traffic, in bytes.
+// The metrics of a node that count control traffic in bytes.
 const (
 	controlBytesMetric = "winchhead_distribution_sent_bytes_total"
 	sourceBytesMetric  = "winchhead_source_bytes_total"
 )
 
-// ControlBytes returns what all nodes have spent on control so far: what they
-// sent each other and exchanged with the platform.
+// ControlBytes returns the control traffic of all nodes so far, in bytes: what they
+// sent to each other and exchanged with the platform.
 func (m *Mesh) ControlBytes(ctx context.Context) (int64, error) {
 	var total float64
 	for _, node := range m.nodes {
@@ -25,16 +25,16 @@
 		if err != nil {
 			return 0, err
 		}
-		total += sum(families[controlBytesMetric]) + sum(families[sourceBytesMetric])
+		total += sumCounters(families[controlBytesMetric]) + sumCounters(families[sourceBytesMetric])
 	}
 	return int64(total), nil
 }
 
-// metrics reads the node's metrics by name.
+// metrics fetches the node's metric families by name.
 func (n *Node) metrics(ctx context.Context) (map[string]*dto.MetricFamily, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.AdminAddress()+"/metrics", nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask for metrics")
+		return nil, eris.Wrap(err, "create the metrics request")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -47,7 +47,7 @@
 }
 
 // sum adds the values of all counters of a family, which may be nil.
-func sum(family *dto.MetricFamily) float64 {
+func sumCounters(family *dto.MetricFamily) float64 {
 	var total float64
 	for _, metric := range family.GetMetric() {
 		total += metric.GetCounter().GetValue()
--- a/internal/bench/overhead/overhead.go
+++ b/internal/bench/overhead/overhead.go
@@ -1,6 +1,6 @@
-// Package overhead measures what the two hops of winchhead add to a call: the
-// same calls go to one back end directly and through an edge, in turns within one
-// run, so that both meet the same machine.
+// Package overhead measures the latency that the two proxy hops of winchhead add to a
+// call. The same calls are sent to one back end directly and through an edge, in
+// alternating turns of one run, so that both are measured under the same conditions.
 package overhead
 
 import (
@@ -17,23 +17,23 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// Options sets up a measurement.
+// Options configures a measurement.
 type Options struct {
 	Deployment *deployment.Deployment
-	// Binary is the winchhead binary.
+	// Binary is the path of the winchhead binary.
 	Binary string
 	// Rate is the arrival rate in calls per second.
 	Rate float64
-	// Turn is how long each way is measured at a time, Turns how often.
+	// Turn is the duration of one turn, and Turns is the number of turns for each path.
 	Turn  time.Duration
 	Turns int
 	// Work is how long the back end works on a call.
 	Work time.Duration
-	// Progress is told of each turn; nil drops it.
-	Progress func(way string, summary load.Summary)
+	// Progress, if set, is called after each turn.
+	Progress func(path string, summary load.Summary)
 }
 
-// Report is the result of a measurement, in milliseconds.
+// Report is the result of a measurement. Times are in milliseconds.
 type Report struct {
 	Rate   float64        `json:"calls_per_second"`
 	WorkMS float64        `json:"work_ms"`
@@ -52,7 +52,7 @@
 	path         = "/echo"
 )
 
-// Run measures with the first edge and the back end nearest to it.
+// Run measures with the first edge and a back end in its zone.
 func Run(ctx context.Context, options Options) (Report, error) {
 	plan := *options.Deployment
 	running, err := mesh.Start(ctx, mesh.Options{Deployment: &plan, Binary: options.Binary})
@@ -60,26 +60,26 @@
 		return Report{}, err
 	}
 	report, err := measure(ctx, running, options)
-	if closeError := running.Close(); err == nil {
-		err = closeError
+	if closeErr := running.Close(); err == nil {
+		err = closeErr
 	}
 	return report, err
 }
 
 func measure(ctx context.Context, running *mesh.Mesh, options Options) (Report, error) {
 	edge := running.Edges()[0]
-	target, err := nearest(running, edge)
+	target, err := sidecarInZone(running, edge)
 	if err != nil {
 		return Report{}, err
 	}
-	if err := prepare(ctx, running, target); err != nil {
+	if err := publishRoute(ctx, running, target); err != nil {
 		return Report{}, err
 	}
-	direct := newWay("direct", running.Backend(target.Name()).Address(), options)
-	hops := newWay("two hops", edge.Outbound(), options)
+	direct := newCallPath("direct", running.Backend(target.Name()).Address(), options)
+	hops := newCallPath("two hops", edge.Outbound(), options)
 	for turn := range options.Turns + 1 {
-		for _, way := range []*way{direct, hops} {
-			if err := way.turn(ctx, turn); err != nil {
+		for _, calls := range []*callPath{direct, hops} {
+			if err := calls.measureTurn(ctx, turn); err != nil {
 				return Report{}, err
 			}
 		}
@@ -97,18 +97,19 @@
 	return report, nil
 }
 
-// nearest returns a node beside a back end in the edge's zone.
-func nearest(running *mesh.Mesh, edge *mesh.Node) (*mesh.Node, error) {
-	for _, node := range running.Beside() {
+// sidecarInZone returns a sidecar in the edge's zone.
+func sidecarInZone(running *mesh.Mesh, edge *mesh.Node) (*mesh.Node, error) {
+	for _, node := range running.Sidecars() {
 		if node.Zone() == edge.Zone() {
 			return node, nil
 		}
 	}
-	return nil, eris.Errorf("no back end is in zone %s", edge.Zone())
+	return nil, eris.Errorf("there is no back end in zone %s", edge.Zone())
 }
 
-// prepare publishes a route to the service of the target and waits for it.
-func prepare(ctx context.Context, running *mesh.Mesh, target *mesh.Node) error {
+// publishRoute publishes a route to the target's service and waits until it is in
+// force on all nodes.
+func publishRoute(ctx context.Context, running *mesh.Mesh, target *mesh.Node) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := running.AwaitWhole(ctx); err != nil {
@@ -123,8 +124,8 @@
 	return err
 }
 
-// way is one way for calls to reach the back end.
-type way struct {
+// callPath is one of the paths by which calls reach the back end.
+type callPath struct {
 	name      string
 	entries   *load.Entries
 	transport *http.Transport
@@ -132,18 +133,18 @@
 	total     *load.Record
 }
 
-func newWay(name, entry string, options Options) *way {
-	return &way{name: name, entries: load.NewEntries(entry), transport: load.NewTransport(), options: options, total: load.NewRecord()}
+func newCallPath(name, entry string, options Options) *callPath {
+	return &callPath{name: name, entries: load.NewEntries(entry), transport: load.NewTransport(), options: options, total: load.NewRecord()}
 }
 
-// turn measures once. The first turn warms up and is not counted.
-func (w *way) turn(ctx context.Context, turn int) error {
+// measureTurn measures one turn. The first turn is a warm-up and is not counted.
+func (p *callPath) measureTurn(ctx context.Context, turn int) error {
 	record, err := load.Run(ctx, load.Options{
-		Rate: w.options.Rate, Duration: w.options.Turn, Entries: w.entries, Transport: w.transport,
+		Rate: p.options.Rate, Duration: p.options.Turn, Entries: p.entries, Transport: p.transport,
 		Plan: func(number uint64) load.Call {
 			return load.Call{
-				ID: fmt.Sprintf("%s-%d-%d", w.name, turn, number), Method: http.MethodPost, Host: hostName, Path: path,
-				BodyBytes: bodyBytes, Work: w.options.Work, Timeout: callTimeout,
+				ID: fmt.Sprintf("%s-%d-%d", p.name, turn, number), Method: http.MethodPost, Host: hostName, Path: path,
+				BodyBytes: bodyBytes, Work: p.options.Work, Timeout: callTimeout,
 			}
 		},
 	})
@@ -151,10 +152,10 @@
 		return err
 	}
 	if turn > 0 {
-		w.total.Merge(record)
+		p.total.Merge(record)
 	}
-	if w.options.Progress != nil {
-		w.options.Progress(w.name, record.Summary())
+	if p.options.Progress != nil {
+		p.options.Progress(p.name, record.Summary())
 	}
 	return ctx.Err()
 }
--- a/internal/bench/soak/faults.go
+++ b/internal/bench/soak/faults.go
@@ -10,21 +10,21 @@
 	"github.com/winchhead/winchhead/internal/bench/mesh"
 )
 
-// disturbance is one fault: it begins, lasts and is undone.
-type disturbance struct {
+// injectedFault is one fault with the functions that begin and undo it.
+type injectedFault struct {
 	name string
-	// target is the node concerned; two faults at once have different ones.
+	// target is the affected node, empty if there is none. Simultaneous faults have
+	// different targets.
 	target string
 	begin  func(ctx context.Context) error
 	undo   func(ctx context.Context) error
 }
 
-// chooser makes one kind of disturbance for a mesh, with a target drawn from the
-// random source.
-type chooser func(random *rand.Rand, running *mesh.Mesh) disturbance
+// faultFactory creates one kind of fault for a mesh, with a random target.
+type faultFactory func(random *rand.Rand, running *mesh.Mesh) injectedFault
 
-// choosers are all kinds of disturbance, drawn with equal chance.
-var choosers = []chooser{
+// faultFactories are all kinds of faults, chosen with equal probability.
+var faultFactories = []faultFactory{
 	killNode, killBackend, killBoth, pauseNode, stopNode, stopEdge, drainBackend,
 	platformOutage, refuseHop,
 	hopFault("reset before the request arrives", mesh.HopBackend, faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsServer}),
@@ -35,41 +35,41 @@
 	hopFault("reset between nodes before the request arrives", mesh.HopData, faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsServer}),
 	hopFault("reset between nodes after the request was sent", mesh.HopData, faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsClient}),
 	hopFault("cut between nodes within the answer", mesh.HopData, faultproxy.Fault{Kind: faultproxy.CutAfter, Direction: faultproxy.TowardsClient, Bytes: cutBytes}),
-	hopFault("half of the link between nodes is dead", mesh.HopData, faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.TowardsServer}),
+	hopFault("requests stalled between nodes", mesh.HopData, faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.TowardsServer}),
 }
 
-// Sizes of the faults.
+// Parameters of the faults.
 const (
 	cutBytes  = 700
 	linkDelay = 150 * time.Millisecond
-	// stopGrace bounds how long the soak waits for a planned stop.
+	// stopGrace limits how long the soak test waits for a planned stop.
 	stopGrace = 45 * time.Second
 )
 
-func pick[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
+func pickRandom[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
 
-func killNode(random *rand.Rand, running *mesh.Mesh) disturbance {
-	node := pick(random, running.Beside())
-	return disturbance{
+func killNode(random *rand.Rand, running *mesh.Mesh) injectedFault {
+	node := pickRandom(random, running.Sidecars())
+	return injectedFault{
 		name: "kill node " + node.Name(), target: node.Name(),
 		begin: func(context.Context) error { return node.Kill() },
 		undo:  node.Start,
 	}
 }
 
-func killBackend(random *rand.Rand, running *mesh.Mesh) disturbance {
-	instance := pick(random, running.Backends())
-	return disturbance{
+func killBackend(random *rand.Rand, running *mesh.Mesh) injectedFault {
+	instance := pickRandom(random, running.Backends())
+	return injectedFault{
 		name: "kill back end " + instance.Node, target: instance.Node,
 		begin: func(context.Context) error { instance.Kill(); return nil },
 		undo:  func(context.Context) error { return instance.Restart() },
 	}
 }
 
-func killBoth(random *rand.Rand, running *mesh.Mesh) disturbance {
-	instance := pick(random, running.Backends())
+func killBoth(random *rand.Rand, running *mesh.Mesh) injectedFault {
+	instance := pickRandom(random, running.Backends())
 	node := running.Node(instance.Node)
-	return disturbance{
+	return injectedFault{
 		name: "kill node and back end " + node.Name(), target: node.Name(),
 		begin: func(context.Context) error {
 			instance.Kill()
@@ -84,25 +84,25 @@
 	}
 }
 
-func pauseNode(random *rand.Rand, running *mesh.Mesh) disturbance {
-	node := pick(random, running.Beside())
-	return disturbance{
+func pauseNode(random *rand.Rand, running *mesh.Mesh) injectedFault {
+	node := pickRandom(random, running.Sidecars())
+	return injectedFault{
 		name: "pause node " + node.Name(), target: node.Name(),
 		begin: func(context.Context) error { return node.Pause() },
 		undo:  func(context.Context) error { return node.Resume() },
 	}
 }
 
-func stopNode(random *rand.Rand, running *mesh.Mesh) disturbance {
-	return plannedStop(running, pick(random, running.Beside()))
+func stopNode(random *rand.Rand, running *mesh.Mesh) injectedFault {
+	return plannedStop(running, pickRandom(random, running.Sidecars()))
 }
 
-func stopEdge(random *rand.Rand, running *mesh.Mesh) disturbance {
-	return plannedStop(running, pick(random, running.Edges()))
+func stopEdge(random *rand.Rand, running *mesh.Mesh) injectedFault {
+	return plannedStop(running, pickRandom(random, running.Edges()))
 }
 
-func plannedStop(running *mesh.Mesh, node *mesh.Node) disturbance {
-	return disturbance{
+func plannedStop(running *mesh.Mesh, node *mesh.Node) injectedFault {
+	return injectedFault{
 		name: "stop node " + node.Name() + " as planned", target: node.Name(),
 		begin: func(ctx context.Context) error {
 			ctx, cancel := context.WithTimeout(ctx, stopGrace)
@@ -113,18 +113,18 @@
 			if err := node.Start(ctx); err != nil {
 				return err
 			}
-			ctx, cancel := context.WithTimeout(ctx, healTimeout)
+			ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 			defer cancel()
 			return running.AwaitReady(ctx, node)
 		},
 	}
 }
 
-// drainBackend lets a back end announce that it leaves, leave once its work is
-// done, and come back as a new process.
-func drainBackend(random *rand.Rand, running *mesh.Mesh) disturbance {
-	instance := pick(random, running.Backends())
-	return disturbance{
+// drainBackend has a back end announce that it is draining, close once its requests
+// are finished, and restart.
+func drainBackend(random *rand.Rand, running *mesh.Mesh) injectedFault {
+	instance := pickRandom(random, running.Backends())
+	return injectedFault{
 		name: "drain back end " + instance.Node, target: instance.Node,
 		begin: func(context.Context) error { instance.Drain(); return nil },
 		undo: func(ctx context.Context) error {
@@ -137,29 +137,29 @@
 	}
 }
 
-func platformOutage(_ *rand.Rand, running *mesh.Mesh) disturbance {
-	return disturbance{
+func platformOutage(_ *rand.Rand, running *mesh.Mesh) injectedFault {
+	return injectedFault{
 		name:  "configuration source down",
 		begin: func(context.Context) error { return running.Platform.Outage() },
 		undo:  func(context.Context) error { return running.Platform.Return() },
 	}
 }
 
-func refuseHop(random *rand.Rand, running *mesh.Mesh) disturbance {
-	node := pick(random, running.Beside())
-	hop := running.Hop(node.Name(), pick(random, []mesh.Hop{mesh.HopBackend, mesh.HopData}))
-	return disturbance{
+func refuseHop(random *rand.Rand, running *mesh.Mesh) injectedFault {
+	node := pickRandom(random, running.Sidecars())
+	hop := running.Hop(node.Name(), pickRandom(random, []mesh.Hop{mesh.HopBackend, mesh.HopData}))
+	return injectedFault{
 		name: "refuse connections to " + node.Name(), target: node.Name(),
 		begin: func(context.Context) error { hop.Refuse(); return nil },
 		undo:  func(context.Context) error { return hop.Accept() },
 	}
 }
 
-func hopFault(name string, on mesh.Hop, fault faultproxy.Fault) chooser {
-	return func(random *rand.Rand, running *mesh.Mesh) disturbance {
-		node := pick(random, running.Beside())
+func hopFault(name string, on mesh.Hop, fault faultproxy.Fault) faultFactory {
+	return func(random *rand.Rand, running *mesh.Mesh) injectedFault {
+		node := pickRandom(random, running.Sidecars())
 		hop := running.Hop(node.Name(), on)
-		return disturbance{
+		return injectedFault{
 			name: name + " at " + node.Name(), target: node.Name(),
 			begin: func(context.Context) error { return hop.Inject(fault) },
 			undo:  func(ctx context.Context) error { hop.Heal(ctx); return nil },
--- a/internal/bench/soak/monitor.go
+++ b/internal/bench/soak/monitor.go
@@ -13,11 +13,11 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// monitorInterval is the time between two looks at a node.
+// monitorInterval is the time between two status requests to the same node.
 const monitorInterval = 100 * time.Millisecond
 
-// monitor asks every node again and again what it holds, and notes each process
-// that went back to an older version.
+// monitor polls every node for the version it holds and records each process that
+// went back to an older version.
 type monitor struct {
 	cancel context.CancelFunc
 	nodes  sync.WaitGroup
@@ -25,41 +25,42 @@
 	found  []string
 }
 
-func watch(ctx context.Context, running *mesh.Mesh) *monitor {
+func startMonitor(ctx context.Context, running *mesh.Mesh) *monitor {
 	ctx, cancel := context.WithCancel(ctx)
 	m := &monitor{cancel: cancel}
 	for _, node := range running.Nodes() {
-		m.nodes.Go(func() { m.follow(ctx, node.Admin()) })
+		m.nodes.Go(func() { m.poll(ctx, node.Admin()) })
 	}
 	return m
 }
 
-// follow compares each answer with the highest before it from the same process.
-func (m *monitor) follow(ctx context.Context, client *admin.Client) {
+// poll compares each reported revision with the highest one that the same process
+// reported before.
+func (m *monitor) poll(ctx context.Context, client *admin.Client) {
 	var highest snapshot.Revision
-	var process membership.Incarnation
+	var incarnation membership.Incarnation
 	for wait.For(ctx, monitorInterval) == nil {
 		status, err := client.Status(ctx)
 		if err != nil {
-			continue // killed, paused or restarting
+			continue // the node is killed, paused or restarting
 		}
-		if status.Incarnation != process {
-			process, highest = status.Incarnation, 0
+		if status.Incarnation != incarnation {
+			incarnation, highest = status.Incarnation, 0
 		}
 		if status.Held.Revision < highest {
-			m.note(fmt.Sprintf("%s held %d and then %d", status.Node, highest, status.Held.Revision))
+			m.addRegression(fmt.Sprintf("%s held revision %d and later revision %d", status.Node, highest, status.Held.Revision))
 		}
 		highest = max(highest, status.Held.Revision)
 	}
 }
 
-func (m *monitor) note(regression string) {
+func (m *monitor) addRegression(regression string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.found = append(m.found, regression)
 }
 
-// stop ends the monitor and may be called again.
+// stop stops the monitor. It may be called more than once.
 func (m *monitor) stop() {
 	m.cancel()
 	m.nodes.Wait()
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -1,6 +1,6 @@
 // Package soak runs a deployment of real node processes under load and random
-// faults, one or two at a time, and judges the promises to callers afterwards.
-// The same seed gives the same order of faults.
+// faults, one or two at a time, and then checks the guarantees to callers. The same
+// seed gives the same order of faults.
 package soak
 
 import (
@@ -20,23 +20,23 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// Options sets up a soak of one deployment.
+// Options configures a soak test of one deployment.
 type Options struct {
 	Deployment *deployment.Deployment
 	Workload   load.Workload
-	// Binary is the winchhead binary.
+	// Binary is the path of the winchhead binary.
 	Binary   string
 	Duration time.Duration
 	Seed     uint64
 	// Rate is the arrival rate in calls per second.
 	Rate float64
-	// Progress takes one line per fault; nil drops it.
+	// Progress receives a line about each step; nil discards them.
 	Progress io.Writer
-	// Logs takes what the nodes log; nil drops it.
+	// Logs receives the logs of the nodes; nil discards them.
 	Logs io.Writer
 }
 
-// Report is the result of one soak.
+// Report is the result of one soak test.
 type Report struct {
 	Deployment string       `json:"deployment"`
 	Seed       uint64       `json:"seed"`
@@ -48,21 +48,22 @@
 	Lost       int          `json:"lost"`
 	RanRefused int          `json:"ran_though_refused"`
 	Wrong      int          `json:"wrong"`
-	// Broken names each broken promise; empty is the only good result.
+	// Broken lists the violated guarantees. The test has passed if it is empty.
 	Broken []string `json:"broken"`
 }
 
-// Times of a soak.
+// Times of a soak test.
 const (
 	startTimeout = 60 * time.Second
-	// faultSpan and calmSpan bound how long a fault lasts and the pause after it.
+	// Range of the duration of a fault and of the pause after it.
 	shortestFault, longestFault = 500 * time.Millisecond, 5 * time.Second
-	shortestCalm, longestCalm   = 300 * time.Millisecond, 2 * time.Second
-	// healTimeout bounds the return to a whole fleet after the last fault.
-	healTimeout = 90 * time.Second
+	shortestPause, longestPause = 300 * time.Millisecond, 2 * time.Second
+	// recoveryTimeout limits how long the fleet may take to recover completely after
+	// the last fault.
+	recoveryTimeout = 90 * time.Second
 )
 
-// run is the state of one soak.
+// run is the state of one soak test.
 type run struct {
 	options Options
 	mesh    *mesh.Mesh
@@ -71,8 +72,8 @@
 	report  Report
 }
 
-// Run soaks one deployment. The error tells that the soak could not be run; a
-// broken promise is in the report.
+// Run runs the soak test. It returns an error if the test could not be run;
+// violated guarantees are in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	running, err := mesh.Start(ctx, mesh.Options{
 		Deployment: options.Deployment,
@@ -90,42 +91,42 @@
 		report:  Report{Deployment: options.Deployment.Name, Seed: options.Seed, Broken: []string{}},
 	}
 	err = r.soak(ctx)
-	if closeError := running.Close(); err == nil {
-		err = closeError
+	if closeErr := running.Close(); err == nil {
+		err = closeErr
 	}
 	return r.report, err
 }
 
 func (r *run) soak(ctx context.Context) error {
-	whole, cancel := context.WithTimeout(ctx, startTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := r.mesh.AwaitWhole(whole); err != nil {
-		return eris.Wrap(err, "the fleet did not become whole")
+	if err := r.mesh.AwaitWhole(startCtx); err != nil {
+		return eris.Wrap(err, "not every node became ready and saw all instances")
 	}
-	r.monitor = watch(ctx, r.mesh)
+	r.monitor = startMonitor(ctx, r.mesh)
 	defer r.monitor.stop()
-	calls, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	record, loadError := r.startLoad(calls)
+	record, loadErr := r.startLoad(loadCtx)
 	started := time.Now()
-	if err := r.disturb(ctx, started.Add(r.options.Duration)); err != nil {
+	if err := r.injectFaults(ctx, started.Add(r.options.Duration)); err != nil {
 		return err
 	}
 	stop()
-	if err := <-loadError; err != nil {
+	if err := <-loadErr; err != nil {
 		return err
 	}
 	r.report.Seconds = time.Since(started).Seconds()
-	if err := r.heal(ctx); err != nil {
-		r.broken("an accepted configuration is in force everywhere: %v", err)
+	if err := r.awaitRecovery(ctx); err != nil {
+		r.addViolation("an accepted configuration is in force everywhere: %v", err)
 	}
 	r.monitor.stop()
-	r.judge(*record)
+	r.checkGuarantees(*record)
 	return nil
 }
 
-// startLoad runs the generator until its context ends. The record is there once
-// the channel has answered.
+// startLoad runs the load generator until ctx ends. The record is set once the
+// channel has delivered the generator's error.
 func (r *run) startLoad(ctx context.Context) (**load.Record, <-chan error) {
 	record := new(*load.Record)
 	ended := make(chan error, 1)
@@ -142,61 +143,63 @@
 	return record, ended
 }
 
-// disturb causes faults until the time is over. One in three gets company by a
-// second one, and one in three by a change of the configuration.
-func (r *run) disturb(ctx context.Context, until time.Time) error {
+// injectFaults injects faults until the given time. On average one in three comes
+// with a second fault at the same time, and one in three with a configuration change.
+func (r *run) injectFaults(ctx context.Context, until time.Time) error {
 	const oneIn = 3
 	for time.Now().Before(until) && ctx.Err() == nil {
-		current := []disturbance{r.choose()}
-		if second := r.choose(); r.random.IntN(oneIn) == 0 && second.target != current[0].target {
+		current := []injectedFault{r.randomFault()}
+		if second := r.randomFault(); r.random.IntN(oneIn) == 0 && second.target != current[0].target {
 			current = append(current, second)
 		}
-		if err := r.cause(ctx, current, r.random.IntN(oneIn) == 0); err != nil {
+		if err := r.applyFaults(ctx, current, r.random.IntN(oneIn) == 0); err != nil {
 			return err
 		}
 	}
 	return ctx.Err()
 }
 
-func (r *run) choose() disturbance { return pick(r.random, choosers)(r.random, r.mesh) }
+func (r *run) randomFault() injectedFault {
+	return pickRandom(r.random, faultFactories)(r.random, r.mesh)
+}
 
-// cause begins faults one after the other, lets them last and undoes them in
-// reverse. A fault that cannot begin, such as a planned stop that takes too
-// long, is reported and left out.
-func (r *run) cause(ctx context.Context, faults []disturbance, change bool) error {
-	lasting := r.between(shortestFault, longestFault)
-	var begun []disturbance
+// applyFaults begins faults one after the other, waits for a random duration and
+// undoes them in reverse order. A fault that cannot begin, such as a planned stop
+// that takes too long, is reported as progress and skipped.
+func (r *run) applyFaults(ctx context.Context, faults []injectedFault, change bool) error {
+	duration := r.randomDuration(shortestFault, longestFault)
+	var active []injectedFault
 	for _, fault := range faults {
 		if err := fault.begin(ctx); err != nil {
-			r.progress("left out: %s: %v", fault.name, err)
+			r.progress("skipped: %s: %v", fault.name, err)
 			continue
 		}
 		r.report.Faults++
-		r.progress("%s for %d ms", fault.name, lasting.Milliseconds())
-		begun = append(begun, fault)
+		r.progress("%s for %d ms", fault.name, duration.Milliseconds())
+		active = append(active, fault)
 	}
 	if change {
 		if err := r.changeConfiguration(); err != nil {
 			return err
 		}
 	}
-	if err := wait.For(ctx, lasting); err != nil {
+	if err := wait.For(ctx, duration); err != nil {
 		return err
 	}
-	for i := len(begun) - 1; i >= 0; i-- {
-		if err := begun[i].undo(ctx); err != nil {
-			r.progress("undo %s: %v", begun[i].name, err)
+	for i := len(active) - 1; i >= 0; i-- {
+		if err := active[i].undo(ctx); err != nil {
+			r.progress("undo %s: %v", active[i].name, err)
 		}
 	}
-	return wait.For(ctx, r.between(shortestCalm, longestCalm))
+	return wait.For(ctx, r.randomDuration(shortestPause, longestPause))
 }
 
-func (r *run) between(shortest, longest time.Duration) time.Duration {
+func (r *run) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(r.random.Int64N(int64(longest-shortest)))
 }
 
-// changeConfiguration publishes a revision that changes the text of a policy and
-// nothing that it means.
+// changeConfiguration publishes a revision that adds a comment to a random policy,
+// which doesn't change its behavior.
 func (r *run) changeConfiguration() error {
 	version, err := r.mesh.Platform.Change(func(content *snapshot.Content) error {
 		if len(content.Policies) == 0 {
@@ -210,13 +213,14 @@
 		return err
 	}
 	r.report.Changes++
-	r.progress("revision %d is published", version.Revision)
+	r.progress("published revision %d", version.Revision)
 	return nil
 }
 
-// heal waits until the fleet is whole again and holds the last revision.
-func (r *run) heal(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, healTimeout)
+// awaitRecovery waits until every node is ready, sees all instances and holds the
+// last revision.
+func (r *run) awaitRecovery(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	if err := r.mesh.AwaitWhole(ctx); err != nil {
 		return err
