--- a/internal/bench/load/audit.go
+++ b/internal/bench/load/audit.go
@@ -2,7 +2,7 @@
 
 import "github.com/winchhead/winchhead/internal/emulator/backend"
 
-// Journal tells what all back ends together ran for an ID.
+// Journal returns how often all back ends together ran the request with an ID.
 type Journal func(id string) backend.Runs
 
 // MergeJournals returns a Journal over the records of several back ends.
@@ -10,13 +10,13 @@
 	merged := map[string]backend.Runs{}
 	for _, record := range records {
 		for id, runs := range record.Requests {
-			merged[id] = add(merged[id], runs)
+			merged[id] = sumRuns(merged[id], runs)
 		}
 	}
 	return func(id string) backend.Runs { return merged[id] }
 }
 
-func add(a, b backend.Runs) backend.Runs {
+func sumRuns(a, b backend.Runs) backend.Runs {
 	return backend.Runs{
 		Started:   a.Started + b.Started,
 		Finished:  a.Finished + b.Finished,
@@ -25,26 +25,26 @@
 	}
 }
 
-// Audit compares what callers were told with what ran. Each list names the calls
-// that broke a promise; all empty is the only good result.
+// Audit compares the outcomes that callers got with what the back ends ran. Each list
+// holds the IDs of the calls that violated a guarantee; all are empty if none was.
 type Audit struct {
-	// Doubled calls may not be repeated and ran more than once.
+	// Doubled calls must not be repeated but ran more than once.
 	Doubled []string `json:"doubled"`
-	// Lost calls were answered as done and are in no journal as finished.
+	// Lost calls were answered successfully, but no journal records them as finished.
 	Lost []string `json:"lost"`
-	// RanThoughRefused calls were refused as not run and ran.
+	// RanThoughRefused calls were refused as not run, but ran.
 	RanThoughRefused []string `json:"ran_though_refused"`
-	// Wrong calls got an answer that looked whole and was not theirs.
+	// Wrong calls got a response that looked complete but was not the expected one.
 	Wrong []string `json:"wrong"`
 }
 
-// Kept reports whether no promise was broken.
+// Kept reports whether all guarantees were kept.
 func (a Audit) Kept() bool {
 	return len(a.Doubled)+len(a.Lost)+len(a.RanThoughRefused)+len(a.Wrong) == 0
 }
 
-// Check audits the results of a run against the journals. It must be called when
-// no call is in progress any more.
+// Check audits the results of a run against the journals. It must be called only
+// after all calls have ended.
 func Check(results []Result, journal Journal) Audit {
 	var audit Audit
 	for _, result := range results {
@@ -55,7 +55,7 @@
 
 func (a *Audit) check(result Result, journal Journal) {
 	call := result.Call
-	if !call.MayRepeat && doubled(call, journal) {
+	if !call.MayRepeat && ranTwice(call, journal) {
 		a.Doubled = append(a.Doubled, call.ID)
 	}
 	switch result.Class {
@@ -72,7 +72,7 @@
 	}
 }
 
-func doubled(call Call, journal Journal) bool {
+func ranTwice(call Call, journal Journal) bool {
 	for _, id := range call.ChainIDs() {
 		if journal(id).Started > 1 {
 			return true
--- a/internal/bench/load/call.go
+++ b/internal/bench/load/call.go
@@ -15,47 +15,48 @@
 
 // Call is one numbered request to an emulated back end.
 type Call struct {
-	// ID is unique in a run; the back ends' journals name it.
+	// ID is unique within a run and identifies the call in the back ends' journals.
 	ID string
-	// Method and Host pick the route.
+	// Method, Host and Path select the route.
 	Method, Host string
-	// Path starts with a slash. A chain needs backend.PathCall.
+	// Path starts with a slash. It must be backend.PathCall if Chain is set.
 	Path string
-	// MayRepeat tells that the call may run more than once.
+	// MayRepeat is set if the call may run more than once.
 	MayRepeat bool
-	// BodyBytes is the size of the request's body.
+	// BodyBytes is the size of the request body.
 	BodyBytes int
-	// AnswerBytes is the size of the answer; zero: the request's body comes back.
+	// AnswerBytes is the size of the response body; if it is zero, the back end echoes
+	// the request body.
 	AnswerBytes int
-	// Work is how long each back end works; zero leaves it to the back end.
+	// Work is how long each back end works; zero uses the back end's default.
 	Work time.Duration
-	// Chain lists the calls onward ("host/path"), the next first.
+	// Chain lists the onward calls ("host/path") in order.
 	Chain []string
-	// Timeout is the time the caller gives; it is sent along and must be set.
+	// Timeout is the caller's timeout. It is sent in a header and must be set.
 	Timeout time.Duration
-	// IdempotencyKey is sent when it is set.
+	// IdempotencyKey is sent in a header if it is set.
 	IdempotencyKey string
-	// Header is sent besides.
+	// Header holds additional header fields.
 	Header http.Header
 }
 
-// onwardMark is what the emulated back end adds to the ID at each call onward.
-const onwardMark = "+"
+// onwardSuffix is what the emulated back end appends to the ID of each onward call.
+const onwardSuffix = "+"
 
-// ChainIDs returns the ID of the call and of each call onward.
+// ChainIDs returns the IDs of the call and of its onward calls.
 func (c Call) ChainIDs() []string {
 	ids := make([]string, 0, len(c.Chain)+1)
 	for depth := 0; depth <= len(c.Chain); depth++ {
-		ids = append(ids, c.ID+strings.Repeat(onwardMark, depth))
+		ids = append(ids, c.ID+strings.Repeat(onwardSuffix, depth))
 	}
 	return ids
 }
 
-// body returns the bytes that the call sends. They depend on its ID.
+// body returns the request body, which depends on the ID.
 func (c Call) body() []byte { return backend.Pattern("body of "+c.ID, c.BodyBytes) }
 
-// answer returns the bytes that the right answer carries.
-func (c Call) answer() []byte {
+// expectedBody returns the body of the correct response.
+func (c Call) expectedBody() []byte {
 	if c.AnswerBytes > 0 {
 		ids := c.ChainIDs()
 		return backend.Pattern(ids[len(ids)-1], c.AnswerBytes)
@@ -63,8 +64,8 @@
 	return c.body()
 }
 
-// request builds the HTTP request to an entry (IP:port). It carries no GetBody:
-// net/http must not send a call again by itself.
+// request builds the HTTP request to an entry (IP:port). GetBody is nil, so that
+// net/http never sends a body a second time by itself.
 func (c Call) request(ctx context.Context, entry string) (*http.Request, error) {
 	var body io.Reader
 	if c.BodyBytes > 0 {
--- a/internal/bench/load/class.go
+++ b/internal/bench/load/class.go
@@ -1,27 +1,27 @@
-// Package load generates numbered requests at a constant rate that does not
-// depend on the answers, checks every byte of each answer and sorts the
-// outcomes. Latency is measured from the time a request was meant to be sent,
-// so that a stalled system cannot hide its own delay (coordinated omission).
+// Package load generates numbered requests at a constant rate that doesn't depend
+// on the responses, checks every byte of each response and classifies the outcomes.
+// Latency is measured from the intended send time, so that the delays of a stalled
+// system are counted in full (no coordinated omission).
 package load
 
-// Class is what became of one request, as its caller saw it.
+// Class is the outcome of one request as its caller saw it.
 type Class uint8
 
-// The classes. Exactly one holds for each request.
+// The classes. Each request has exactly one.
 const (
-	// Answered: the whole right answer came before the deadline.
+	// Answered: the complete, correct response came before the deadline.
 	Answered Class = iota
-	// Late: the whole right answer came after the deadline.
+	// Late: the complete, correct response came after the deadline.
 	Late
-	// NotRun: refused with the promise that nothing ran.
+	// NotRun: the request was refused with the guarantee that it did not run.
 	NotRun
-	// Unknown: failed, and it may have run.
+	// Unknown: the request failed and may have run.
 	Unknown
-	// Cut: the answer began and ended before its end.
+	// Cut: the response began but was cut off.
 	Cut
-	// Rejected: the back end itself answered with an error status.
+	// Rejected: the back end itself responded with an error status.
 	Rejected
-	// Wrong: an answer that looked complete was not the one to this request.
+	// Wrong: the response looked complete but was not the expected one.
 	Wrong
 
 	classCount = int(Wrong) + 1
@@ -29,7 +29,7 @@
 
 var classNames = [classCount]string{"answered", "late", "not_run", "unknown", "cut", "rejected", "wrong"}
 
-// String returns the class in lower case, as reports name it.
+// String returns the name of the class in reports.
 func (c Class) String() string {
 	if int(c) >= classCount {
 		return "invalid"
--- a/internal/bench/load/entries.go
+++ b/internal/bench/load/entries.go
@@ -6,22 +6,22 @@
 	"sync/atomic"
 )
 
-// Entries are the addresses that callers send to. A planned stop of an entry is
-// announced to callers by removing it, as a name service or balancer would do.
+// Entries are the addresses that callers send requests to. Before a planned stop of
+// an entry its address is removed, as a name service or load balancer would do.
 type Entries struct {
 	addresses atomic.Pointer[[]string]
-	// changing serialises Add and Remove.
-	changing sync.Mutex
+	// changeLock serializes Add and Remove.
+	changeLock sync.Mutex
 }
 
-// NewEntries returns entries of these addresses (IP:port).
+// NewEntries returns entries with the given addresses (IP:port).
 func NewEntries(addresses ...string) *Entries {
 	entries := &Entries{}
 	entries.Set(addresses...)
 	return entries
 }
 
-// Set replaces the addresses. Calls in progress stay where they are.
+// Set replaces the addresses. Calls in progress are not affected.
 func (e *Entries) Set(addresses ...string) {
 	copied := append([]string(nil), addresses...)
 	e.addresses.Store(&copied)
@@ -30,23 +30,24 @@
 // All returns the addresses.
 func (e *Entries) All() []string { return append([]string(nil), *e.addresses.Load()...) }
 
-// Remove takes an address out; others keep their order.
+// Remove removes an address; the others keep their order.
 func (e *Entries) Remove(address string) {
-	e.changing.Lock()
-	defer e.changing.Unlock()
+	e.changeLock.Lock()
+	defer e.changeLock.Unlock()
 	e.Set(slices.DeleteFunc(e.All(), func(other string) bool { return other == address })...)
 }
 
-// Add puts an address in, once.
+// Add adds an address unless it is present.
 func (e *Entries) Add(address string) {
-	e.changing.Lock()
-	defer e.changing.Unlock()
+	e.changeLock.Lock()
+	defer e.changeLock.Unlock()
 	if addresses := e.All(); !slices.Contains(addresses, address) {
 		e.Set(append(addresses, address)...)
 	}
 }
 
-// Pick returns the address for a call number, or "" when there is none.
+// Pick returns the address for a call number in round-robin order, or "" if there are
+// no addresses.
 func (e *Entries) Pick(number uint64) string {
 	addresses := *e.addresses.Load()
 	if len(addresses) == 0 {
--- a/internal/bench/load/generator.go
+++ b/internal/bench/load/generator.go
@@ -9,35 +9,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// Planner makes the call of a number. It must be safe for concurrent use.
+// Planner returns the call with a number. It must be safe for concurrent use.
 type Planner func(number uint64) Call
 
-// Options sets one run of the generator.
+// Options configures one run of the load generator.
 type Options struct {
 	// Rate is the constant arrival rate in calls per second.
 	Rate float64
-	// Duration is how long calls are started; zero: until the context ends.
+	// Duration is how long new calls are started; zero means until the context ends.
 	Duration time.Duration
-	// Plan makes the calls.
+	// Plan returns the calls to send.
 	Plan Planner
 	// First is the number of the first call.
 	First uint64
-	// Entries gives the address (IP:port) that a call is sent to.
+	// Entries are the addresses (IP:port) that calls are sent to.
 	Entries *Entries
-	// Transport carries the calls.
+	// Transport sends the calls.
 	Transport http.RoundTripper
-	// MaxInFlight bounds the calls in progress, to protect the generator's own
-	// memory. A call above it is counted as Skipped, never sent late.
+	// MaxInFlight limits the calls in progress, to protect the generator's own memory.
+	// A call above the limit is counted as skipped and never sent.
 	MaxInFlight int
-	// Observe is told each result, if set. It must not block.
+	// Observe, if set, is called with each result. It must not block.
 	Observe func(Result)
 }
 
-// defaultMaxInFlight bounds the calls in progress when Options leaves it open.
+// defaultMaxInFlight is used if Options.MaxInFlight is zero.
 const defaultMaxInFlight = 50_000
 
-// Run starts calls at the constant rate and waits for all answers. A context
-// that ends stops new calls; those in progress run to their own deadlines.
+// Run starts calls at a constant rate and waits until all have ended. When ctx ends,
+// no new calls are started, and those in progress continue to their own deadlines.
 func Run(ctx context.Context, options Options) (*Record, error) {
 	if options.Rate <= 0 || options.Plan == nil || options.Entries == nil {
 		return nil, eris.New("load: rate, plan and entries are required")
@@ -46,27 +46,28 @@
 		options.MaxInFlight = defaultMaxInFlight
 	}
 	run := generator{
-		options: options,
-		record:  NewRecord(),
-		slots:   make(chan struct{}, options.MaxInFlight),
+		options:  options,
+		record:   NewRecord(),
+		inFlight: make(chan struct{}, options.MaxInFlight),
 	}
 	run.loop(ctx)
 	run.calls.Wait()
-	run.record.seal(time.Since(run.started))
+	run.record.setDuration(time.Since(run.started))
 	return run.record, nil
 }
 
 // generator is the state of one Run.
 type generator struct {
-	options Options
-	record  *Record
-	slots   chan struct{}
-	calls   sync.WaitGroup
-	started time.Time
+	options  Options
+	record   *Record
+	inFlight chan struct{}
+	calls    sync.WaitGroup
+	started  time.Time
 }
 
-// loop starts each call at its own time, whatever became of earlier ones. When
-// the process was held up it catches up at once, and the delay counts in full.
+// loop starts each call at its intended time, independently of earlier calls. If the
+// process was delayed, the overdue calls start at once and their latency includes the
+// delay.
 func (g *generator) loop(ctx context.Context) {
 	g.started = time.Now()
 	interval := float64(time.Second) / g.options.Rate
@@ -81,13 +82,13 @@
 		if !waitUntil(ctx, timer, intended) {
 			return
 		}
-		g.start(g.options.First+index, intended)
+		g.startCall(g.options.First+index, intended)
 	}
 }
 
-// waitUntil reports false when the context ended first.
-func waitUntil(ctx context.Context, timer *time.Timer, moment time.Time) bool {
-	wait := time.Until(moment)
+// waitUntil waits until a time and returns false if the context ended first.
+func waitUntil(ctx context.Context, timer *time.Timer, at time.Time) bool {
+	wait := time.Until(at)
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
@@ -100,9 +101,9 @@
 	}
 }
 
-func (g *generator) start(number uint64, intended time.Time) {
+func (g *generator) startCall(number uint64, intended time.Time) {
 	select {
-	case g.slots <- struct{}{}:
+	case g.inFlight <- struct{}{}:
 	default:
 		g.record.skip()
 		return
@@ -110,7 +111,7 @@
 	g.calls.Add(1)
 	go func() {
 		defer g.calls.Done()
-		defer func() { <-g.slots }()
+		defer func() { <-g.inFlight }()
 		result := Send(g.options.Transport, g.options.Entries.Pick(number), g.options.Plan(number), intended)
 		g.record.add(result)
 		if g.options.Observe != nil {
--- a/internal/bench/load/load_test.go
+++ b/internal/bench/load/load_test.go
@@ -16,7 +16,7 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// call returns a call with a fault for the emulated back end to cause.
+// call returns a call that asks the emulated back end for a fault.
 func call(id string, fault backend.Fault) load.Call {
 	header := http.Header{}
 	if fault != backend.FaultNone {
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestClasses sends calls straight to a back end: each way to fail has its class.
+// TestClasses sends calls directly to a back end and checks the class of each fault.
 func TestClasses(t *testing.T) {
 	instance := backend.New(backend.Options{Name: "b"})
 	qt.Assert(t, instance.Start("127.0.0.1:0"), qt.IsNil)
@@ -58,13 +58,13 @@
 	qt.Assert(t, result.Class, qt.Equals, load.NotRun)
 }
 
-// answers is a transport whose answers are made by a function.
-type answers func(*http.Request) (*http.Response, error)
+// roundTripFunc is a transport that calls a function.
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (a answers) RoundTrip(request *http.Request) (*http.Response, error) { return a(request) }
+func (f roundTripFunc) RoundTrip(request *http.Request) (*http.Response, error) { return f(request) }
 
-// answer returns a whole answer with a body and headers.
-func answer(status int, body []byte, header map[string]string) *http.Response {
+// newResponse returns a complete response with a body and header fields.
+func newResponse(status int, body []byte, header map[string]string) *http.Response {
 	response := &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(body))}
 	for name, value := range header {
 		response.Header.Set(name, value)
@@ -72,12 +72,13 @@
 	return response
 }
 
-// TestAnswersOfOthersAreWrong shows that no foreign or altered answer passes.
-func TestAnswersOfOthersAreWrong(t *testing.T) {
+// TestWrongResponses checks that responses to other requests and altered responses
+// are classified as wrong.
+func TestWrongResponses(t *testing.T) {
 	sent := call("mine", "")
-	right := backend.Pattern("body of mine", sent.BodyBytes)
+	correct := backend.Pattern("body of mine", sent.BodyBytes)
 	other := backend.Pattern("body of other", sent.BodyBytes)
-	flipped := bytes.Clone(right)
+	flipped := bytes.Clone(correct)
 	flipped[1234]++
 	for _, row := range []struct {
 		name   string
@@ -86,17 +87,17 @@
 		header string
 		class  load.Class
 	}{
-		{"right", "mine", right, "", load.Answered},
-		{"number of another", "other", right, "", load.Wrong},
-		{"body of another", "mine", other, "", load.Wrong},
+		{"correct", "mine", correct, "", load.Answered},
+		{"ID of another request", "other", correct, "", load.Wrong},
+		{"body of another request", "mine", other, "", load.Wrong},
 		{"one byte changed", "mine", flipped, "", load.Wrong},
-		{"short but whole", "mine", right[:10], "", load.Wrong},
+		{"truncated body with a matching checksum", "mine", correct[:10], "", load.Wrong},
 		{"refused", "mine", nil, string(outcome.NotRun), load.NotRun},
 		{"failed", "mine", nil, string(outcome.Unknown), load.Unknown},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			transport := answers(func(*http.Request) (*http.Response, error) {
-				return answer(http.StatusOK, row.body, map[string]string{
+			transport := roundTripFunc(func(*http.Request) (*http.Response, error) {
+				return newResponse(http.StatusOK, row.body, map[string]string{
 					backend.HeaderRequest: row.id, backend.HeaderChecksum: backend.Checksum(row.body),
 					outcome.HeaderOutcome: row.header,
 				}), nil
@@ -106,17 +107,17 @@
 	}
 }
 
-// TestStallDoesNotSlowArrivals shows under virtual time that calls keep arriving
-// while none is answered, and that the stall counts in full in their latency.
+// TestStallDoesNotSlowArrivals checks, with a fake clock, that calls are started at the
+// constant rate while none is answered, and that their latency includes the whole stall.
 func TestStallDoesNotSlowArrivals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var begun atomic.Int64
 		release := make(chan struct{})
-		transport := answers(func(request *http.Request) (*http.Response, error) {
+		transport := roundTripFunc(func(request *http.Request) (*http.Response, error) {
 			begun.Add(1)
 			<-release
 			body, err := io.ReadAll(request.Body)
-			return answer(http.StatusOK, body, map[string]string{
+			return newResponse(http.StatusOK, body, map[string]string{
 				backend.HeaderRequest:  request.Header.Get(backend.HeaderRequest),
 				backend.HeaderChecksum: backend.Checksum(body),
 			}), err
@@ -138,7 +139,7 @@
 	})
 }
 
-// TestAudit shows that each broken promise is named, and only those.
+// TestAudit checks that exactly the calls that violate a guarantee are listed.
 func TestAudit(t *testing.T) {
 	chained := load.Call{ID: "chained", Chain: []string{"next/call"}}
 	journal := load.MergeJournals(
--- a/internal/bench/load/record.go
+++ b/internal/bench/load/record.go
@@ -14,15 +14,15 @@
 	significantDigits      = 3
 )
 
-// Result is what became of one call.
+// Result is the outcome of one call.
 type Result struct {
 	Call  Call
 	Class Class
-	// Status is the HTTP status, or 0 when no answer began.
+	// Status is the HTTP status, or 0 if there was no response.
 	Status int
-	// Reason is the system's reason, or the error, of a call not answered.
+	// Reason says why a call was not answered: the reason from the proxies or the error.
 	Reason string
-	// Latency is measured from the intended send time to the end of the answer.
+	// Latency is the time from the intended send time to the end of the response.
 	Latency time.Duration
 	// Ended is when the call ended.
 	Ended time.Time
@@ -56,9 +56,9 @@
 		r.reasons[result.Class.String()+": "+result.Reason]++
 		return
 	}
-	// Values above the range are clamped: they count as the longest latency.
+	// Values outside the range are clamped: higher ones count as the longest latency.
 	microseconds := min(max(result.Latency.Microseconds(), minLatencyMicroseconds), maxLatencyMicroseconds)
-	_ = r.latency.RecordValue(microseconds) // within the range, so it cannot fail
+	_ = r.latency.RecordValue(microseconds) // cannot fail: the value is within the range
 }
 
 func (r *Record) skip() {
@@ -67,13 +67,14 @@
 	r.skipped++
 }
 
-func (r *Record) seal(duration time.Duration) {
+func (r *Record) setDuration(duration time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.duration = duration
 }
 
-// Merge adds the results and the duration of another record that is sealed.
+// Merge adds the results and the duration of another record, whose run must have
+// ended.
 func (r *Record) Merge(other *Record) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -89,8 +90,8 @@
 	r.duration += other.duration
 }
 
-// Results returns all results in the order of their ends. It must not be called
-// while Run goes on.
+// Results returns all results in the order in which the calls ended. It must not be
+// called while Run is in progress.
 func (r *Record) Results() []Result { return r.results }
 
 // Count returns how many calls ended in a class.
@@ -100,8 +101,8 @@
 	return r.classes[class]
 }
 
-// Latencies are quantiles of answered calls in milliseconds, from the intended
-// send time.
+// Latencies are quantiles of the latency of answered calls, in milliseconds from the
+// intended send time.
 type Latencies struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -109,7 +110,7 @@
 	Max float64 `json:"max"`
 }
 
-// Summary is the result of one run in the form of a report.
+// Summary is the result of one run for reports.
 type Summary struct {
 	Sent     int64 `json:"sent"`
 	Answered int64 `json:"answered"`
@@ -119,15 +120,15 @@
 	Cut      int64 `json:"cut"`
 	Rejected int64 `json:"rejected"`
 	Wrong    int64 `json:"wrong"`
-	// Skipped calls were never sent: the generator's own bound was reached.
+	// Skipped calls were never sent because Options.MaxInFlight was reached.
 	Skipped int64 `json:"skipped"`
-	// Goodput is the answered calls per second of the run, late ones left out.
+	// Goodput is the number of answered calls per second of the run, without late ones.
 	Goodput   float64          `json:"goodput_per_second"`
 	LatencyMS Latencies        `json:"latency_ms"`
 	Reasons   map[string]int64 `json:"reasons,omitempty"`
 }
 
-// Summary returns the counts and quantiles so far.
+// Summary returns the counts and latency quantiles so far.
 func (r *Record) Summary() Summary {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/bench/load/send.go
+++ b/internal/bench/load/send.go
@@ -14,18 +14,18 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// answerGrace is how long a caller waits beyond its own deadline for the answer
-// that tells what became of the call.
-const answerGrace = 3 * time.Second
+// responseGrace is how long a caller waits after its own deadline for a response
+// that reports the outcome of the call.
+const responseGrace = 3 * time.Second
 
-// Limits of the connections of NewTransport.
+// Connection limits of NewTransport.
 const (
 	idleConnections = 4096
 	dialTimeout     = 2 * time.Second
 )
 
-// NewTransport returns a transport for callers. It keeps connections, as callers
-// do, and neither compresses nor takes a proxy from the environment.
+// NewTransport returns a transport for callers. It reuses connections, as callers do.
+// It neither requests compression nor uses a proxy from the environment.
 func NewTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -35,13 +35,13 @@
 	}
 }
 
-// Send sends one call, reads its whole answer and classifies the outcome.
-// Latency counts from intended.
+// Send sends one call, reads the whole response and classifies the outcome. Latency
+// is measured from intended.
 func Send(transport http.RoundTripper, entry string, call Call, intended time.Time) Result {
-	ctx, cancel := context.WithDeadline(context.Background(), intended.Add(call.Timeout+answerGrace))
+	ctx, cancel := context.WithDeadline(context.Background(), intended.Add(call.Timeout+responseGrace))
 	defer cancel()
 	result := Result{Call: call}
-	result.Class, result.Status, result.Reason = exchange(ctx, transport, entry, call)
+	result.Class, result.Status, result.Reason = roundTrip(ctx, transport, entry, call)
 	result.Ended = time.Now()
 	result.Latency = result.Ended.Sub(intended)
 	if result.Class == Answered && result.Latency > call.Timeout {
@@ -50,8 +50,8 @@
 	return result
 }
 
-// exchange does one round trip and returns its class, status and reason.
-func exchange(ctx context.Context, transport http.RoundTripper, entry string, call Call) (Class, int, string) {
+// roundTrip sends a call and returns its class, status and reason.
+func roundTrip(ctx context.Context, transport http.RoundTripper, entry string, call Call) (Class, int, string) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	request, err := call.request(httptrace.WithClientTrace(ctx, trace), entry)
@@ -63,7 +63,7 @@
 		if !connected {
 			return NotRun, 0, "no connection to the entry"
 		}
-		return Unknown, 0, failure(err)
+		return Unknown, 0, errorReason(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
@@ -71,8 +71,9 @@
 	return class, response.StatusCode, reason
 }
 
-// failure names an error without addresses, so that equal causes count together.
-func failure(err error) string {
+// errorReason describes an error without addresses, so that errors with the same cause
+// are counted together.
+func errorReason(err error) string {
 	if isTimeout(err) {
 		return "no answer in time"
 	}
@@ -84,30 +85,30 @@
 	return ok && timeout.Timeout()
 }
 
-// classify sorts an answer whose header arrived.
-func classify(call Call, response *http.Response, body []byte, readError error) (Class, string) {
+// classify returns the class and reason of a response whose header arrived.
+func classify(call Call, response *http.Response, body []byte, readErr error) (Class, string) {
 	switch outcome.Outcome(response.Header.Get(outcome.HeaderOutcome)) {
 	case outcome.NotRun:
 		return NotRun, response.Header.Get(outcome.HeaderReason)
 	case outcome.Unknown:
 		return Unknown, response.Header.Get(outcome.HeaderReason)
 	}
-	if readError != nil {
+	if readErr != nil {
 		return Cut, "cut after the header"
 	}
 	if response.StatusCode != http.StatusOK {
 		return Rejected, fmt.Sprintf("status %d", response.StatusCode)
 	}
-	return check(call, response.Header, body)
+	return checkResponse(call, response.Header, body)
 }
 
-// check compares an answer that arrived whole with the right one.
-func check(call Call, header http.Header, body []byte) (Class, string) {
+// checkResponse compares a complete response with the expected one.
+func checkResponse(call Call, header http.Header, body []byte) (Class, string) {
 	if got := header.Get(backend.HeaderRequest); got != call.ID {
 		return Wrong, fmt.Sprintf("answer to %q", got)
 	}
-	if !bytes.Equal(body, call.answer()) {
-		return Wrong, fmt.Sprintf("%d bytes, want %d", len(body), len(call.answer()))
+	if !bytes.Equal(body, call.expectedBody()) {
+		return Wrong, fmt.Sprintf("%d bytes, want %d", len(body), len(call.expectedBody()))
 	}
 	if sum := header.Get(backend.HeaderChecksum); sum != backend.Checksum(body) {
 		return Wrong, "checksum differs"
--- a/internal/bench/load/workload.go
+++ b/internal/bench/load/workload.go
@@ -11,26 +11,26 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Kind is one kind of call in a workload.
+// Kind describes one kind of call in a workload.
 type Kind struct {
 	Method string `yaml:"method"`
 	Host   string `yaml:"host"`
 	Path   string `yaml:"path"`
-	// Share is how often the kind occurs, relative to the others.
+	// Share is the relative frequency of the kind.
 	Share int `yaml:"share"`
-	// MayRepeat must agree with the policy's route.
+	// MayRepeat must match the route in the policy.
 	MayRepeat   bool          `yaml:"may_repeat"`
 	BodyBytes   int           `yaml:"body_bytes"`
 	AnswerBytes int           `yaml:"answer_bytes"`
 	Work        time.Duration `yaml:"work"`
 	Timeout     time.Duration `yaml:"timeout"`
-	// Chain lists the calls onward ("host/path").
+	// Chain lists the onward calls ("host/path").
 	Chain []string `yaml:"chain"`
-	// Keyed sends each call with an Idempotency-Key of its own.
+	// Keyed sends each call with its own Idempotency-Key.
 	Keyed bool `yaml:"keyed"`
 }
 
-// Workload is a mix of calls.
+// Workload is a mix of kinds of calls.
 type Workload struct {
 	Calls []Kind `yaml:"calls"`
 }
@@ -40,7 +40,7 @@
 	var workload Workload
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return workload, eris.Wrap(err, "read the workload")
+		return workload, eris.Wrap(err, "read workload")
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
@@ -49,7 +49,7 @@
 	}
 	for i, kind := range workload.Calls {
 		if kind.Share < 1 || kind.Timeout <= 0 {
-			return workload, eris.Errorf("workload %s: call %d needs a share and a timeout", file, i+1)
+			return workload, eris.Errorf("workload %s: call %d needs a positive share and timeout", file, i+1)
 		}
 	}
 	if len(workload.Calls) == 0 {
@@ -58,8 +58,9 @@
 	return workload, nil
 }
 
-// Planner returns a planner that draws the kind of each number from the seed, so
-// that a number gives the same call in every run. Run names the IDs.
+// Planner returns a planner that derives the kind of each call from the seed and its
+// number, so that the same number gives the same call in every run. run is the prefix
+// of the IDs.
 func (w Workload) Planner(run string, seed uint64) Planner {
 	total := 0
 	for _, kind := range w.Calls {
@@ -73,7 +74,7 @@
 			}
 			draw -= kind.Share
 		}
-		panic("shares add up to more than their total")
+		panic("the draw exceeds the sum of all shares")
 	}
 }
 
