--- a/internal/bench/chart/chart.go
+++ b/internal/bench/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws the figures of experiments as line charts.
+// Package chart draws the results of experiments as line charts.
 package chart
 
 import (
@@ -15,7 +15,7 @@
 	X, Y []float64
 }
 
-// Lines is a chart of lines over one axis.
+// Lines is a line chart whose lines share the axes.
 type Lines struct {
 	Title, XLabel, YLabel string
 	Series                []Series
@@ -27,8 +27,8 @@
 	height = 10 * vg.Centimeter
 )
 
-// Save draws the chart into a file, whose suffix (such as .png or .svg) picks
-// the format.
+// Save writes the chart to a file. The file name extension, such as .png or .svg,
+// selects the format.
 func (l Lines) Save(file string) error {
 	drawing := plot.New()
 	drawing.Title.Text = l.Title
@@ -48,5 +48,5 @@
 	if err := plotutil.AddLinePoints(drawing, lines...); err != nil {
 		return eris.Wrap(err, "draw the chart")
 	}
-	return eris.Wrapf(drawing.Save(width, height, file), "save the chart %s", file)
+	return eris.Wrapf(drawing.Save(width, height, file), "save chart %s", file)
 }
--- a/internal/bench/command/backend.go
+++ b/internal/bench/command/backend.go
@@ -12,11 +12,11 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-const backendHelp = "Runs an emulated back end until it is interrupted. Its control HTTP " +
-	"changes its behavior and shows its journal of what ran."
+const backendHelp = "Runs an emulated back end until it is interrupted. Its control API, over HTTP, " +
+	"changes its behavior and shows the journal of the requests that ran."
 
-// controlHeaderTimeout bounds how long a client of a control HTTP may take to
-// send a header.
+// controlHeaderTimeout limits how long a client of the control API may take to send
+// a request header.
 const controlHeaderTimeout = 10 * time.Second
 
 // backendCommand runs one emulated back end.
@@ -51,27 +51,27 @@
 		}
 		defer stop()
 	}
-	_, _ = fmt.Fprintf(c.stdout, "back end %s at %s\n", c.Name, instance.Address())
+	_, _ = fmt.Fprintf(c.stdout, "back end %s listens on %s\n", c.Name, instance.Address())
 	<-c.ctx.Done()
 	finish, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	return eris.Wrap(instance.Close(finish), "end the back end")
+	return eris.Wrap(instance.Close(finish), "stop the back end")
 }
 
-// stopTimeout bounds how long a stand-in waits for requests in progress.
+// stopTimeout limits how long the back end waits for requests in progress.
 const stopTimeout = 10 * time.Second
 
-// serveHTTP serves a handler at address until stop is called.
+// serveHTTP serves a handler on address until stop is called.
 func serveHTTP(address string, handler http.Handler) (stop func(), err error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, eris.Wrapf(err, "listen at %s", address)
+		return nil, eris.Wrapf(err, "listen on %s", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: controlHeaderTimeout}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = server.Serve(listener) // ends with ErrServerClosed at stop
+		_ = server.Serve(listener) // returns ErrServerClosed after stop
 	}()
 	return func() {
 		_ = server.Close()
--- a/internal/bench/command/command.go
+++ b/internal/bench/command/command.go
@@ -1,5 +1,5 @@
-// Package command owns the command line of winchhead-bench: one file a
-// subcommand and the exit codes.
+// Package command implements the command line of winchhead-bench: the subcommands,
+// each in its own file, and the exit codes.
 package command
 
 import (
@@ -14,48 +14,48 @@
 
 // The exit codes of winchhead-bench.
 const (
-	// ExitOK: all that was promised held.
+	// ExitOK means that the command succeeded and no guarantee was violated.
 	ExitOK = 0
-	// ExitBroken: a promise broke or an experiment could not be run to its end.
-	ExitBroken = 1
-	// ExitUsage: the command line is wrong.
+	// ExitFailure means that a guarantee was violated or that the command failed.
+	ExitFailure = 1
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
 )
 
-// environment is what a subcommand gets from the process.
+// environment holds the context and the output streams of a subcommand.
 type environment struct {
 	ctx    context.Context
 	stdout io.Writer
 	stderr io.Writer
 }
 
-// progress prints a line about a long run, if somebody watches a terminal.
+// progress prints a line about the progress of a long run if stderr is a terminal.
 func (e environment) progress(line string) {
 	file, ok := e.stderr.(*os.File)
 	if !ok {
 		return
 	}
-	information, err := file.Stat()
-	if err == nil && information.Mode()&os.ModeCharDevice != 0 {
+	info, err := file.Stat()
+	if err == nil && info.Mode()&os.ModeCharDevice != 0 {
 		_, _ = fmt.Fprintln(file, line)
 	}
 }
 
-// subcommand describes one subcommand to the parser.
+// subcommand describes one subcommand for the parser.
 type subcommand struct {
 	name, short, long string
 	command           flags.Commander
 }
 
-// Run parses the arguments (without the program's name), runs the subcommand and
-// returns the exit code. Cancelling ctx ends it in order.
+// Run parses the arguments (without the program name), runs the subcommand and
+// returns the exit code. Canceling ctx makes the subcommand stop in an orderly way.
 func Run(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
 	env := environment{ctx: ctx, stdout: stdout, stderr: stderr}
 	parser := flags.NewNamedParser("winchhead-bench", flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = "winchhead-bench rehearses winchhead with stand-ins for what surrounds it."
+	parser.LongDescription = "winchhead-bench tests and measures winchhead with emulators of the platform and of back ends."
 	for _, description := range subcommands(env) {
 		if _, err := parser.AddCommand(description.name, description.short, description.long, description.command); err != nil {
-			panic(err) // a wrong struct tag in this package
+			panic(err) // an invalid struct tag in this package
 		}
 	}
 	_, err := parser.ParseArgs(arguments)
@@ -65,11 +65,11 @@
 func subcommands(env environment) []subcommand {
 	return []subcommand{
 		{"platform", "Run the emulated platform", platformHelp, &platformCommand{environment: env}},
-		{"demo", "Show the main job on Montevideo", demoHelp, &demoCommand{environment: env}},
-		{"overhead", "Measure what the two hops add", overheadHelp, &overheadCommand{environment: env}},
-		{"load", "Measure goodput around the capacity", loadHelp, &loadCommand{environment: env}},
-		{"soak", "Run random faults against the examples", soakHelp, &soakCommand{environment: env}},
-		{"store-soak", "Run random faults against a fleet on a store", storeSoakHelp, &storeSoakCommand{environment: env}},
+		{"demo", "Demonstrate policy changes on the Montevideo example", demoHelp, &demoCommand{environment: env}},
+		{"overhead", "Measure the latency that the two proxy hops add", overheadHelp, &overheadCommand{environment: env}},
+		{"load", "Measure goodput below and above the capacity", loadHelp, &loadCommand{environment: env}},
+		{"soak", "Run the examples under random faults", soakHelp, &soakCommand{environment: env}},
+		{"store-soak", "Run a fleet with a store under random faults", storeSoakHelp, &storeSoakCommand{environment: env}},
 		{"backend", "Run an emulated back end", backendHelp, &backendCommand{environment: env}},
 	}
 }
@@ -88,6 +88,6 @@
 		return ExitUsage
 	default:
 		_, _ = fmt.Fprintln(env.stderr, "winchhead-bench:", err)
-		return ExitBroken
+		return ExitFailure
 	}
 }
--- a/internal/bench/command/command_test.go
+++ b/internal/bench/command/command_test.go
@@ -10,8 +10,8 @@
 	"github.com/winchhead/winchhead/internal/bench/command"
 )
 
-// TestExitCodes holds the codes that scripts rely on. The context has ended, so
-// that what would serve ends at once.
+// TestExitCodes checks the exit codes, which scripts rely on. The context is already
+// canceled, so that subcommands that serve requests stop at once.
 func TestExitCodes(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -27,10 +27,10 @@
 		{"unknown subcommand", []string{"dance"}, command.ExitUsage, "dance"},
 		{"unknown flag", []string{"demo", "--quickly"}, command.ExitUsage, "quickly"},
 		{"missing flag", []string{"backend"}, command.ExitUsage, "listen"},
-		{"unknown examples", []string{"demo", "--examples", "nowhere"}, command.ExitBroken, "nowhere"},
-		{"back end", []string{"backend", "--listen", "127.0.0.1:0", "--control", "127.0.0.1:0"}, command.ExitOK, "back end backend at 127.0.0.1:"},
-		{"platform", []string{"platform", "--listen", "127.0.0.1:0", "--operators", "127.0.0.1:0", "--content", "../../../examples/kerlann/content.yaml", "--members", "../../../examples/kerlann/settings/*.yaml"}, command.ExitOK, "platform at"},
-		{"platform without content", []string{"platform", "--listen", "127.0.0.1:0", "--content", "nowhere.yaml"}, command.ExitBroken, "nowhere.yaml"},
+		{"unknown examples", []string{"demo", "--examples", "nowhere"}, command.ExitFailure, "nowhere"},
+		{"back end", []string{"backend", "--listen", "127.0.0.1:0", "--control", "127.0.0.1:0"}, command.ExitOK, "back end backend listens on 127.0.0.1:"},
+		{"platform", []string{"platform", "--listen", "127.0.0.1:0", "--operators", "127.0.0.1:0", "--content", "../../../examples/kerlann/content.yaml", "--members", "../../../examples/kerlann/settings/*.yaml"}, command.ExitOK, "platform listens on"},
+		{"platform without content", []string{"platform", "--listen", "127.0.0.1:0", "--content", "nowhere.yaml"}, command.ExitFailure, "nowhere.yaml"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var output bytes.Buffer
--- a/internal/bench/command/demo.go
+++ b/internal/bench/command/demo.go
@@ -8,13 +8,13 @@
 	"github.com/winchhead/winchhead/internal/bench/deployment"
 )
 
-const demoHelp = "Runs Montevideo in this process over loopback TCP: submits a policy, revises it, " +
-	"revises it badly and withdraws it, tries each state with requests, and exits with 0 only if all held."
+const demoHelp = "Runs the Montevideo example in this process over loopback TCP: submits a policy, revises it, " +
+	"revises it with an error and withdraws it, checks each state with requests, and exits with 0 only if all checks succeeded."
 
-// demoDeployment is the example that the demo shows.
+// demoDeployment is the example deployment that the demo runs.
 const demoDeployment = "montevideo"
 
-// exampleFlags say where the example deployments are.
+// exampleFlags are the flags that locate the example deployments.
 type exampleFlags struct {
 	Examples string `long:"examples" default:"examples" value-name:"DIR" description:"directory of the example deployments"`
 }
@@ -23,14 +23,14 @@
 	return deployment.Load(filepath.Join(f.Examples, name))
 }
 
-// demoCommand shows the main job.
+// demoCommand runs the demo.
 type demoCommand struct {
 	environment
 	exampleFlags
 	Verbose bool `long:"verbose" description:"print what the nodes log"`
 }
 
-// Execute runs the demo.
+// Execute runs the demo and prints its steps.
 func (c *demoCommand) Execute([]string) error {
 	plan, err := c.load(demoDeployment)
 	if err != nil {
--- a/internal/bench/command/load.go
+++ b/internal/bench/command/load.go
@@ -9,24 +9,24 @@
 	"github.com/winchhead/winchhead/internal/bench/goodput"
 )
 
-const loadHelp = "Offers load below and above the capacity of an example and reports what is answered in time, " +
-	"for the nodes as they are and with retries, balance and shedding each switched to a plain baseline."
+const loadHelp = "Offers load below and above the capacity of an example and reports how many calls are answered in time, " +
+	"with unchanged nodes and with a simple baseline for retries, load balancing and load shedding."
 
-// loadCommand measures goodput.
+// loadCommand measures the goodput of a deployment.
 type loadCommand struct {
 	environment
 	exampleFlags
 	binaryFlags
-	Deployment string        `long:"deployment" default:"montevideo" description:"example to run, or 'chain' for a made one with as many services as a call is deep"`
-	Instances  int           `long:"instances" default:"2" description:"instances of each service of the made deployment"`
-	Factors    []float64     `long:"factor" default:"0.5" default:"1" default:"2" default:"4" description:"offered load as a share of the capacity; may be repeated"`
-	Duration   time.Duration `long:"duration" default:"10s" description:"how long each load is offered"`
-	Depth      int           `long:"depth" default:"1" description:"back ends that one call passes"`
-	Work       time.Duration `long:"work" default:"100ms" description:"time that each back end works on a call"`
-	Timeout    time.Duration `long:"timeout" default:"1s" description:"time that callers give"`
-	Only       bool          `long:"no-baselines" description:"measure the nodes as they are only"`
-	JSON       bool          `long:"json" description:"print the report as JSON"`
-	Plot       string        `long:"plot" value-name:"FILE" description:"draw goodput over offered load (.png, .svg, .pdf)"`
+	Deployment  string        `long:"deployment" default:"montevideo" description:"example to run, or 'chain' for a made one with as many services as a call is deep"`
+	Instances   int           `long:"instances" default:"2" description:"instances of each service of the made deployment"`
+	Factors     []float64     `long:"factor" default:"0.5" default:"1" default:"2" default:"4" description:"offered load as a share of the capacity; may be repeated"`
+	Duration    time.Duration `long:"duration" default:"10s" description:"how long each load is offered"`
+	Depth       int           `long:"depth" default:"1" description:"back ends that one call passes"`
+	Work        time.Duration `long:"work" default:"100ms" description:"time that each back end works on a call"`
+	Timeout     time.Duration `long:"timeout" default:"1s" description:"time that callers give"`
+	NoBaselines bool          `long:"no-baselines" description:"measure the nodes as they are only"`
+	JSON        bool          `long:"json" description:"print the report as JSON"`
+	Plot        string        `long:"plot" value-name:"FILE" description:"draw goodput over offered load (.png, .svg, .pdf)"`
 }
 
 // Execute runs the measurement.
@@ -35,20 +35,20 @@
 	if err != nil {
 		return err
 	}
-	binary, release, err := c.binary(c.environment)
+	binary, remove, err := c.binary(c.environment)
 	if err != nil {
 		return err
 	}
-	defer release()
+	defer remove()
 	variants := goodput.Variants
-	if c.Only {
+	if c.NoBaselines {
 		variants = variants[:1]
 	}
 	report, err := goodput.Run(c.ctx, goodput.Options{
 		Deployment: plan, Binary: binary, Variants: variants, Factors: c.Factors, Duration: c.Duration,
 		Depth: c.Depth, Work: c.Work, Timeout: c.Timeout,
 		Progress: func(variant string, point goodput.Point) {
-			c.progress(fmt.Sprintf("%s at %g times capacity: %.0f of %.0f calls a second in time", variant, point.Factor, point.Calls.Goodput, point.Offered))
+			c.progress(fmt.Sprintf("%s at %g times the capacity: %.0f of %.0f calls per second answered in time", variant, point.Factor, point.Calls.Goodput, point.Offered))
 		},
 	})
 	if err != nil {
@@ -66,11 +66,11 @@
 	return nil
 }
 
-// madeDeployment is the name of the deployment that is made, not read.
-const madeDeployment = "chain"
+// generatedDeployment is the flag value that selects a generated deployment.
+const generatedDeployment = "chain"
 
 func (c *loadCommand) plan() (*deployment.Deployment, error) {
-	if c.Deployment == madeDeployment {
+	if c.Deployment == generatedDeployment {
 		return deployment.Chain(c.Depth, c.Instances)
 	}
 	return c.load(c.Deployment)
@@ -88,11 +88,11 @@
 	}
 	table.flush()
 	for _, curve := range report.Curves {
-		_, _ = fmt.Fprintf(c.stdout, "%s: the last load has %.0f %% of the peak goodput\n", curve.Variant, 100*curve.LastShare)
+		_, _ = fmt.Fprintf(c.stdout, "%s: goodput at the last load is %.0f %% of the peak\n", curve.Variant, 100*curve.LastShare)
 	}
 }
 
-// goodputChart returns the chart of a report.
+// goodputChart returns a chart of goodput over offered load.
 func goodputChart(report goodput.Report) chart.Lines {
 	lines := chart.Lines{
 		Title:  fmt.Sprintf("Goodput of %s, depth %d", report.Deployment, report.Depth),
--- a/internal/bench/command/overhead.go
+++ b/internal/bench/command/overhead.go
@@ -8,10 +8,10 @@
 	"github.com/winchhead/winchhead/internal/bench/overhead"
 )
 
-const overheadHelp = "Measures what the two hops add to a call: the same calls go to a back end directly and " +
-	"through an edge, in turns within one run."
+const overheadHelp = "Measures the latency that the two proxy hops add to a call: the same calls go to a back end directly and " +
+	"through an edge, in alternating turns of one run."
 
-// overheadCommand measures the two hops.
+// overheadCommand measures the latency that the two proxy hops add.
 type overheadCommand struct {
 	environment
 	exampleFlags
@@ -30,15 +30,15 @@
 	if err != nil {
 		return err
 	}
-	binary, release, err := c.binary(c.environment)
+	binary, remove, err := c.binary(c.environment)
 	if err != nil {
 		return err
 	}
-	defer release()
+	defer remove()
 	report, err := overhead.Run(c.ctx, overhead.Options{
 		Deployment: plan, Binary: binary, Rate: c.Rate, Turn: c.Turn, Turns: c.Turns, Work: c.Work,
-		Progress: func(way string, summary load.Summary) {
-			c.progress(fmt.Sprintf("%-8s p50 %.3f ms, p99 %.3f ms, %d answered", way, summary.LatencyMS.P50, summary.LatencyMS.P99, summary.Answered))
+		Progress: func(path string, summary load.Summary) {
+			c.progress(fmt.Sprintf("%-8s p50 %.3f ms, p99 %.3f ms, %d answered", path, summary.LatencyMS.P50, summary.LatencyMS.P99, summary.Answered))
 		},
 	})
 	if err != nil {
@@ -49,10 +49,10 @@
 	}
 	table := newTable(c.stdout, "WAY", "ANSWERED", "OTHER", "P50 MS", "P90 MS", "P99 MS", "MAX MS")
 	for _, row := range []struct {
-		way   string
+		path  string
 		calls load.Summary
 	}{{"direct", report.Direct}, {"two hops", report.Hops}} {
-		table.row(row.way, row.calls.Answered, row.calls.Sent-row.calls.Answered,
+		table.row(row.path, row.calls.Answered, row.calls.Sent-row.calls.Answered,
 			milliseconds(row.calls.LatencyMS.P50), milliseconds(row.calls.LatencyMS.P90),
 			milliseconds(row.calls.LatencyMS.P99), milliseconds(row.calls.LatencyMS.Max))
 	}
--- a/internal/bench/command/platform.go
+++ b/internal/bench/command/platform.go
@@ -15,8 +15,8 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-const platformHelp = "Runs the emulated platform until it is interrupted: the configuration and " +
-	"the membership list to read, and the operators' write side on an address of its own."
+const platformHelp = "Runs the emulated platform until it is interrupted. It serves the configuration and " +
+	"the membership list to nodes, and the API for changes by operators on a separate address."
 
 // platformCommand runs the emulated platform.
 type platformCommand struct {
@@ -45,7 +45,7 @@
 			return err
 		}
 	}
-	_, _ = fmt.Fprintf(c.stdout, "platform at %s holds %s\n", c.Listen, emulated.Version())
+	_, _ = fmt.Fprintf(c.stdout, "platform listens on %s and holds %s\n", c.Listen, emulated.Version())
 	return group.Wait()
 }
 
@@ -58,15 +58,16 @@
 		}
 	}
 	if c.Members != "" {
-		if options.Members, err = members(c.Members, c.Host); err != nil {
+		if options.Members, err = loadMembers(c.Members, c.Host); err != nil {
 			return nil, err
 		}
 	}
 	return platform.New(options)
 }
 
-// members returns the list of the nodes whose settings match the pattern.
-func members(pattern, host string) ([]membership.ListedMember, error) {
+// loadMembers returns the membership list of the nodes whose settings files match the
+// pattern, with their IPs replaced by host if it is set.
+func loadMembers(pattern, host string) ([]membership.ListedMember, error) {
 	nodes, err := deployment.LoadNodes(pattern)
 	if err != nil {
 		return nil, err
@@ -83,7 +84,7 @@
 func (c *platformCommand) serve(ctx context.Context, group *errgroup.Group, address string, serve func(context.Context, net.Listener) error) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return eris.Wrapf(err, "listen at %s", address)
+		return eris.Wrapf(err, "listen on %s", address)
 	}
 	group.Go(func() error { return serve(ctx, listener) })
 	return nil
--- a/internal/bench/command/soak.go
+++ b/internal/bench/command/soak.go
@@ -15,26 +15,28 @@
 	"github.com/winchhead/winchhead/internal/bench/soak"
 )
 
-const soakHelp = "Runs the example deployments as real node processes under load and random faults, one " +
-	"after the other, and exits with 1 if a promise to callers broke. The same seed gives the same faults."
+const soakHelp = "Runs the example deployments, one after the other, as real node processes under load and random " +
+	"faults, and exits with 1 if a guarantee to callers was violated. The same seed gives the same faults."
 
-// workloadFile is the mix of calls in the directory of an example deployment.
+// workloadFile is the name of the workload file in the directory of an example
+// deployment.
 const workloadFile = "workload.yaml"
 
-// binaryFlags say which winchhead binary runs.
+// binaryFlags are the flags that select the winchhead binary.
 type binaryFlags struct {
 	Binary string `long:"binary" value-name:"PATH" description:"the winchhead binary; built with the go command if left out"`
 }
 
-// binary returns the path of the binary and a function that frees it.
-func (f binaryFlags) binary(env environment) (path string, release func(), err error) {
+// binary returns the path of the binary, which it builds if none is given, and a
+// function that removes a binary that it built.
+func (f binaryFlags) binary(env environment) (path string, remove func(), err error) {
 	if f.Binary != "" {
 		return f.Binary, func() {}, nil
 	}
 	return mesh.BuildBinary(env.ctx)
 }
 
-// soakCommand runs random faults against the examples.
+// soakCommand runs a soak test on each of the selected examples.
 type soakCommand struct {
 	environment
 	exampleFlags
@@ -47,25 +49,25 @@
 	Verbose     bool     `long:"verbose" description:"print what the nodes log"`
 }
 
-// Execute soaks each deployment.
+// Execute runs the soak test on each deployment and prints the reports.
 func (c *soakCommand) Execute([]string) error {
-	binary, release, err := c.binary(c.environment)
+	binary, remove, err := c.binary(c.environment)
 	if err != nil {
 		return err
 	}
-	defer release()
+	defer remove()
 	var reports []soak.Report
 	for _, name := range c.Deployments {
 		report, err := c.soak(name, binary)
 		if err != nil {
-			return eris.Wrapf(err, "soak %s", name)
+			return eris.Wrapf(err, "soak test of %s", name)
 		}
 		reports = append(reports, report)
 	}
 	if err := c.print(reports); err != nil {
 		return err
 	}
-	return broken(reports)
+	return violationError(reports)
 }
 
 func (c *soakCommand) soak(name, binary string) (soak.Report, error) {
@@ -101,15 +103,16 @@
 	}
 	table.flush()
 	for _, report := range reports {
-		for _, promise := range report.Broken {
-			_, _ = fmt.Fprintf(c.stdout, "%s: broken: %s\n", report.Deployment, promise)
+		for _, violation := range report.Broken {
+			_, _ = fmt.Fprintf(c.stdout, "%s: broken: %s\n", report.Deployment, violation)
 		}
 	}
 	return nil
 }
 
-// broken returns an error that names the deployments with a broken promise.
-func broken(reports []soak.Report) error {
+// violationError returns an error that lists the deployments with violated
+// guarantees, or nil if there are none.
+func violationError(reports []soak.Report) error {
 	var names []string
 	for _, report := range reports {
 		if len(report.Broken) > 0 {
@@ -119,7 +122,7 @@
 	if len(names) == 0 {
 		return nil
 	}
-	return eris.Errorf("promises broke in %s", strings.Join(names, ", "))
+	return eris.Errorf("guarantees were violated in %s", strings.Join(names, ", "))
 }
 
 func printJSON(output io.Writer, value any) error {
--- a/internal/bench/command/store_soak.go
+++ b/internal/bench/command/store_soak.go
@@ -9,39 +9,39 @@
 	"github.com/winchhead/winchhead/internal/bench/storesoak"
 )
 
-const storeSoakHelp = "Runs a fleet of real node processes on an emulated key-value store, with emulated instances, " +
-	"under load and random faults from outside, and exits with 1 if a promise broke. The same seed gives the same faults " +
-	"in the same order; a seed that broke something belongs into storesoak/regressions.go with a line on its cause."
+const storeSoakHelp = "Runs a fleet of real node processes with an emulated key-value store and emulated instances, " +
+	"under load and random external faults, and exits with 1 if a guarantee was violated. The same seed gives the same faults " +
+	"in the same order. Add a seed that found a violation to storesoak/regressions.go, with a line on its cause."
 
-// storeSoakCommand soaks a fleet on a store, once for each seed.
+// storeSoakCommand runs a soak test of a fleet with a store once for each seed.
 type storeSoakCommand struct {
 	environment
 	binaryFlags
-	Seed     uint64  `long:"seed" default:"1" description:"seed of the first soak; the others have the next ones"`
-	Seeds    int     `long:"seeds" default:"1" description:"how many soaks, one after the other"`
-	Machines int     `long:"machines" default:"8" description:"machines of the fleet, each with a node process; 80 is the usual size"`
-	Zones    int     `long:"zones" default:"2" description:"zones that the machines are spread over"`
-	Routes   int     `long:"routes" default:"200" description:"the most routes that changes add, in all; a third of them is there from the start"`
-	Link     float64 `long:"slowest-link" value-name:"MBITS" description:"rate of the slowest machines' links; others have up to 20 times that; none if left out"`
-	Busy     int     `long:"busy" description:"processes that use processors beside the fleet"`
-	Faults   int     `long:"faults" default:"20" description:"faults of each soak"`
-	Rate     float64 `long:"rate" default:"150" description:"calls per second"`
-	Restores float64 `long:"restore-share" description:"share of the faults, 0 to 1, in which the store comes back from a copy some seconds old"`
-	Leave    float64 `long:"leave-rate" description:"instances per second that say that they leave and are replaced, beside the faults; changes then come in quick succession"`
-	Crash    float64 `long:"crash-rate" description:"calls per second that crash the instances which run them; these start again under their names"`
-	Again    bool    `long:"regressions" description:"play the soaks that once broke a promise, as they were played"`
-	JSON     bool    `long:"json" description:"print the reports as JSON"`
-	Chart    string  `long:"report" value-name:"FILE" description:"draw how long changes took and what was served, over time (.png, .svg, .pdf)"`
-	Verbose  bool    `long:"verbose" description:"print what the nodes log"`
+	Seed         uint64  `long:"seed" default:"1" description:"seed of the first soak; the others have the next ones"`
+	Seeds        int     `long:"seeds" default:"1" description:"how many soaks, one after the other"`
+	Machines     int     `long:"machines" default:"8" description:"machines of the fleet, each with a node process; 80 is the usual size"`
+	Zones        int     `long:"zones" default:"2" description:"zones that the machines are spread over"`
+	Routes       int     `long:"routes" default:"200" description:"the most routes that changes add, in all; a third of them is there from the start"`
+	SlowestLink  float64 `long:"slowest-link" value-name:"MBITS" description:"rate of the slowest machines' links; others have up to 20 times that; none if left out"`
+	Busy         int     `long:"busy" description:"processes that use processors beside the fleet"`
+	Faults       int     `long:"faults" default:"20" description:"faults of each soak"`
+	Rate         float64 `long:"rate" default:"150" description:"calls per second"`
+	RestoreShare float64 `long:"restore-share" description:"share of the faults, 0 to 1, in which the store comes back from a copy some seconds old"`
+	LeaveRate    float64 `long:"leave-rate" description:"instances per second that say that they leave and are replaced, beside the faults; changes then come in quick succession"`
+	CrashRate    float64 `long:"crash-rate" description:"calls per second that crash the instances which run them; these start again under their names"`
+	Regressions  bool    `long:"regressions" description:"play the soaks that once broke a promise, as they were played"`
+	JSON         bool    `long:"json" description:"print the reports as JSON"`
+	Chart        string  `long:"report" value-name:"FILE" description:"draw how long changes took and what was served, over time (.png, .svg, .pdf)"`
+	Verbose      bool    `long:"verbose" description:"print what the nodes log"`
 }
 
-// Execute soaks and prints a line for each seed.
+// Execute runs the soak tests and prints a line for each seed.
 func (c *storeSoakCommand) Execute([]string) error {
-	binary, release, err := c.binary(c.environment)
+	binary, remove, err := c.binary(c.environment)
 	if err != nil {
 		return err
 	}
-	defer release()
+	defer remove()
 	plan := c.plan()
 	var reports []storesoak.Report
 	failed := 0
@@ -52,7 +52,7 @@
 		}
 		report, err := storesoak.Run(c.ctx, options)
 		if err != nil {
-			return eris.Wrapf(err, "soak with seed %d", options.Seed)
+			return eris.Wrapf(err, "soak test with seed %d", options.Seed)
 		}
 		reports = append(reports, report)
 		if len(report.Broken) > 0 {
@@ -68,34 +68,34 @@
 		}
 	}
 	if failed > 0 {
-		return eris.Errorf("promises broke with %d of %d seeds", failed, len(plan))
+		return eris.Errorf("guarantees were violated with %d of %d seeds", failed, len(plan))
 	}
 	return nil
 }
 
-// plan lists the soaks to play.
-func (c *storeSoakCommand) plan() (soaks []storesoak.Options) {
-	if c.Again {
+// plan returns the options of the soak tests to run.
+func (c *storeSoakCommand) plan() (tests []storesoak.Options) {
+	if c.Regressions {
 		for _, each := range storesoak.Regressions {
-			soaks = append(soaks, each.Options())
+			tests = append(tests, each.Options())
 		}
-		return soaks
+		return tests
 	}
 	for i := range c.Seeds {
-		soaks = append(soaks, storesoak.Options{
-			Seed: c.Seed + uint64(i), Machines: c.Machines, Zones: c.Zones, Routes: c.Routes, SlowestLink: c.Link,
-			Busy: c.Busy, Faults: c.Faults, Rate: c.Rate, CrashRate: c.Crash, LeaveRate: c.Leave, RestoreShare: c.Restores,
+		tests = append(tests, storesoak.Options{
+			Seed: c.Seed + uint64(i), Machines: c.Machines, Zones: c.Zones, Routes: c.Routes, SlowestLink: c.SlowestLink,
+			Busy: c.Busy, Faults: c.Faults, Rate: c.Rate, CrashRate: c.CrashRate, LeaveRate: c.LeaveRate, RestoreShare: c.RestoreShare,
 		})
 	}
-	return soaks
+	return tests
 }
 
-// soakChart draws, for each soak, how long each change took until the last machine had it in
-// force, and the share of calls that was served.
+// soakChart returns a chart with two lines for each soak test: how long each change took until
+// it was in force on the last machine, and the share of calls that were served.
 func soakChart(reports []storesoak.Report) chart.Lines {
 	lines := chart.Lines{
 		Title: "Changes and calls under faults", XLabel: "seconds since the start",
-		YLabel: "seconds until in force at the last machine; share of calls served",
+		YLabel: "seconds until in force on the last machine; share of calls served",
 	}
 	for _, report := range reports {
 		slowest := chart.Series{Name: fmt.Sprintf("seed %d, in force", report.Seed)}
@@ -124,8 +124,8 @@
 	}
 	table.flush()
 	for _, r := range reports {
-		for _, promise := range r.Broken {
-			_, _ = fmt.Fprintf(c.stdout, "seed %d: broken: %s\n", r.Seed, promise)
+		for _, violation := range r.Broken {
+			_, _ = fmt.Fprintf(c.stdout, "seed %d: broken: %s\n", r.Seed, violation)
 		}
 	}
 	return nil
--- a/internal/bench/demo/caller.go
+++ b/internal/bench/demo/caller.go
@@ -12,13 +12,13 @@
 	"github.com/winchhead/winchhead/internal/bench/mesh"
 )
 
-// requests gives the expected class of each kind of request.
-type requests struct{ trips, bookings, patients load.Class }
+// expectedClasses holds the expected class of each kind of request.
+type expectedClasses struct{ trips, bookings, patients load.Class }
 
-// callsPerKind is how many requests of each kind each edge gets in one state.
+// callsPerKind is the number of requests of each kind to each edge in one state.
 const callsPerKind = 10
 
-// Sizes and time of the demo's requests.
+// Sizes and timeout of the demo's requests.
 const (
 	bookingBytes = 1500
 	recordBytes  = 4000
@@ -37,18 +37,18 @@
 	return &caller{mesh: running, transport: load.NewTransport()}
 }
 
-// calls returns the calls of one state with the class that each must get.
-func (c *caller) calls(expected requests) map[*load.Call]load.Class {
+// calls returns the calls for one state with their expected classes.
+func (c *caller) calls(expected expectedClasses) map[*load.Call]load.Class {
 	calls := map[*load.Call]load.Class{}
 	for range callsPerKind * len(c.mesh.Edges()) {
-		calls[c.number(load.Call{Method: http.MethodGet, Path: "/trips/today", MayRepeat: true, AnswerBytes: recordBytes})] = expected.trips
-		calls[c.number(load.Call{Method: http.MethodPost, Path: "/bookings", BodyBytes: bookingBytes})] = expected.bookings
-		calls[c.number(load.Call{Method: http.MethodGet, Path: "/patients/7", MayRepeat: true, AnswerBytes: recordBytes})] = expected.patients
+		calls[c.complete(load.Call{Method: http.MethodGet, Path: "/trips/today", MayRepeat: true, AnswerBytes: recordBytes})] = expected.trips
+		calls[c.complete(load.Call{Method: http.MethodPost, Path: "/bookings", BodyBytes: bookingBytes})] = expected.bookings
+		calls[c.complete(load.Call{Method: http.MethodGet, Path: "/patients/7", MayRepeat: true, AnswerBytes: recordBytes})] = expected.patients
 	}
 	return calls
 }
 
-func (c *caller) number(call load.Call) *load.Call {
+func (c *caller) complete(call load.Call) *load.Call {
 	c.sent++
 	call.ID = fmt.Sprintf("demo-%d", c.sent)
 	call.Host = "montevideo"
@@ -56,12 +56,12 @@
 	return &call
 }
 
-// try sends the calls of one state at once and checks each outcome.
-func (c *caller) try(r *run, expected requests) error {
+// sendAndCheck sends the calls for one state concurrently and checks each outcome.
+func (c *caller) sendAndCheck(r *run, expected expectedClasses) error {
 	calls := c.calls(expected)
 	entries := c.mesh.Entries.All()
 	var (
-		waiting  sync.WaitGroup
+		group    sync.WaitGroup
 		lock     sync.Mutex
 		failures []string
 		index    int
@@ -69,7 +69,7 @@
 	for call, class := range calls {
 		entry := entries[index%len(entries)]
 		index++
-		waiting.Go(func() {
+		group.Go(func() {
 			result := load.Send(c.transport, entry, *call, time.Now())
 			lock.Lock()
 			defer lock.Unlock()
@@ -79,13 +79,13 @@
 			}
 		})
 	}
-	waiting.Wait()
+	group.Wait()
 	if len(failures) > 0 {
-		return eris.Errorf("%d of %d requests ended wrong, such as %s", len(failures), len(calls), failures[0])
+		return eris.Errorf("%d of %d requests had an unexpected outcome, such as %s", len(failures), len(calls), failures[0])
 	}
-	r.say("    %d requests: trips %s, bookings %s, patients %s", len(calls), expected.trips, expected.bookings, expected.patients)
+	r.printf("    %d requests: trips %s, bookings %s, patients %s", len(calls), expected.trips, expected.bookings, expected.patients)
 	return nil
 }
 
-// audit compares all outcomes with the journals.
+// audit compares all outcomes with the back ends' journals.
 func (c *caller) audit() load.Audit { return load.Check(c.results, c.mesh.Journal()) }
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo shows the main job on the Montevideo deployment: a policy is
-// submitted, revised, revised badly and withdrawn, and each state is tried with
-// requests. It checks all that it shows.
+// Package demo demonstrates the main use case on the Montevideo deployment: a policy
+// is submitted, revised, revised with an error and withdrawn. In each state it sends
+// requests and checks their outcomes.
 package demo
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// The programs of the policy, in the order of their revisions.
+// The successive programs of the policy.
 var (
 	//go:embed policies/submitted.star
 	submittedProgram string
@@ -29,34 +29,34 @@
 	refusedProgram string
 )
 
-// policyName is the policy that the demo submits; messages about a bad revision
-// name it as the file.
+// policyName is the name of the policy that the demo submits. Error messages about
+// its program use it as the file name.
 const policyName = "trips.star"
 
-// demoSecret is what the policy attaches to bookings.
+// demoSecret is the secret that the policy adds to booking requests.
 var demoSecret = snapshot.Secret{Name: "demo-token", Value: "shown-nowhere"}
 
-// startTimeout bounds how long the fleet may take to become whole; stepTimeout
-// bounds each later step.
+// startTimeout limits the time until every node is ready and sees all instances;
+// stepTimeout limits each later step.
 const (
 	startTimeout = 20 * time.Second
 	stepTimeout  = 10 * time.Second
 )
 
-// shortGrace is how long a node's stop at the end may take.
+// shortGrace is how long the planned stop of a node waits for requests.
 const shortGrace = 100 * time.Millisecond
 
-// Options sets up a run.
+// Options configures a run of the demo.
 type Options struct {
 	// Deployment must have the services of Montevideo.
 	Deployment *deployment.Deployment
-	// Output takes what people read.
+	// Output receives the text of the demo.
 	Output io.Writer
-	// Logs takes what the nodes log; nil drops it.
+	// Logs receives the logs of the nodes; nil discards them.
 	Logs io.Writer
 }
 
-// run is the state of one demo.
+// run is the state of one run of the demo.
 type run struct {
 	mesh    *mesh.Mesh
 	output  io.Writer
@@ -64,7 +64,7 @@
 	caller  *caller
 }
 
-// Run runs the demo and returns nil only if all that it shows held.
+// Run runs the demo. It returns nil only if all checks succeeded.
 func Run(ctx context.Context, options Options) error {
 	plan := *options.Deployment
 	plan.Content.Policies = nil
@@ -72,7 +72,7 @@
 	started := time.Now()
 	running, err := mesh.Start(ctx, mesh.Options{
 		Deployment: &plan, Logs: options.Logs,
-		// Nothing is in progress at the end, so that no stop has to wait.
+		// No request is in progress at the end, so the nodes don't need to wait for any.
 		Overrides: settings.Overrides{"inbound.drain_grace": shortGrace.String()},
 	})
 	if err != nil {
@@ -80,19 +80,19 @@
 	}
 	r := &run{mesh: running, output: options.Output, started: started, caller: newCaller(running)}
 	err = r.steps(ctx)
-	if closeError := running.Close(); err == nil {
-		err = closeError
+	if closeErr := running.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		r.say("all that was shown held")
+		r.printf("all checks succeeded")
 	}
 	return err
 }
 
-// steps shows one state after the other.
+// steps runs the steps of the demo in order.
 func (r *run) steps(ctx context.Context) error {
 	for _, step := range []func(context.Context) error{
-		r.start, r.submit, r.revise, r.refuse, r.withdraw, r.audit,
+		r.start, r.submit, r.revise, r.reviseInvalid, r.withdraw, r.audit,
 	} {
 		if err := step(ctx); err != nil {
 			return err
@@ -101,20 +101,20 @@
 	return nil
 }
 
-// say prints one line after the time since the start.
-func (r *run) say(format string, values ...any) {
+// printf prints one line, preceded by the time since the start.
+func (r *run) printf(format string, values ...any) {
 	_, _ = fmt.Fprintf(r.output, "%6.2f s  %s\n", time.Since(r.started).Seconds(), fmt.Sprintf(format, values...))
 }
 
 func (r *run) start(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	r.say("starting the platform, %d back ends and %d nodes over loopback TCP", len(r.mesh.Backends()), len(r.mesh.Nodes()))
+	r.printf("starting the platform, %d back ends and %d nodes over loopback TCP", len(r.mesh.Backends()), len(r.mesh.Nodes()))
 	if err := r.mesh.AwaitWhole(ctx); err != nil {
-		return eris.Wrap(err, "the fleet did not become whole")
+		return eris.Wrap(err, "not every node became ready and saw all instances")
 	}
-	r.say("every node holds revision %d, which has no policy yet, and sees every instance", r.mesh.Platform.Version().Revision)
-	return r.caller.try(r, requests{trips: load.NotRun, bookings: load.NotRun, patients: load.NotRun})
+	r.printf("every node holds revision %d, which has no policy yet, and sees every instance", r.mesh.Platform.Version().Revision)
+	return r.caller.sendAndCheck(r, expectedClasses{trips: load.NotRun, bookings: load.NotRun, patients: load.NotRun})
 }
 
 func (r *run) submit(ctx context.Context) error {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	return r.caller.try(r, requests{trips: load.Answered, bookings: load.Answered, patients: load.NotRun})
+	return r.caller.sendAndCheck(r, expectedClasses{trips: load.Answered, bookings: load.Answered, patients: load.NotRun})
 }
 
 func (r *run) revise(ctx context.Context) error {
@@ -134,12 +134,12 @@
 	if err != nil {
 		return err
 	}
-	return r.caller.try(r, requests{trips: load.Answered, bookings: load.Answered, patients: load.Answered})
+	return r.caller.sendAndCheck(r, expectedClasses{trips: load.Answered, bookings: load.Answered, patients: load.Answered})
 }
 
-// refuse submits a bad revision. Only the nodes that read the platform see it,
-// as no node passes on what it did not adopt.
-func (r *run) refuse(ctx context.Context) error {
+// reviseInvalid submits an invalid revision. Only the nodes that read from the
+// platform see it, because nodes don't pass on what they haven't adopted.
+func (r *run) reviseInvalid(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	before := r.mesh.Platform.Version().Revision
@@ -149,18 +149,18 @@
 	}
 	reason, err := r.mesh.AwaitRefusal(ctx, version.Revision)
 	if err != nil {
-		return eris.Wrap(err, "the bad revision was not refused everywhere")
+		return eris.Wrap(err, "the invalid revision was not refused everywhere")
 	}
-	r.say("revised badly: revision %d is refused whole on every node, because:", version.Revision)
-	r.say("    %s", reason)
-	if err := r.holdsExactly(ctx, before); err != nil {
+	r.printf("revised with an error: revision %d is refused as a whole on every node, because:", version.Revision)
+	r.printf("    %s", reason)
+	if err := r.checkRevision(ctx, before); err != nil {
 		return err
 	}
-	return r.caller.try(r, requests{trips: load.Answered, bookings: load.Answered, patients: load.Answered})
+	return r.caller.sendAndCheck(r, expectedClasses{trips: load.Answered, bookings: load.Answered, patients: load.Answered})
 }
 
-// holdsExactly checks that every node still holds a revision.
-func (r *run) holdsExactly(ctx context.Context, revision snapshot.Revision) error {
+// checkRevision checks that every node still holds a revision.
+func (r *run) checkRevision(ctx context.Context, revision snapshot.Revision) error {
 	for _, node := range r.mesh.Nodes() {
 		status, err := node.Admin().Status(ctx)
 		if err != nil {
@@ -170,7 +170,7 @@
 			return eris.Errorf("%s holds revision %d, want %d", node.Name(), status.Held.Revision, revision)
 		}
 	}
-	r.say("every node still holds revision %d", revision)
+	r.printf("every node still holds revision %d", revision)
 	return nil
 }
 
@@ -181,10 +181,11 @@
 	if err != nil {
 		return err
 	}
-	return r.caller.try(r, requests{trips: load.NotRun, bookings: load.NotRun, patients: load.NotRun})
+	return r.caller.sendAndCheck(r, expectedClasses{trips: load.NotRun, bookings: load.NotRun, patients: load.NotRun})
 }
 
-// change makes one change in the platform and shows how it came into force.
+// change makes one change on the platform, waits until it is in force on every node
+// and prints how long that took.
 func (r *run) change(ctx context.Context, verb string, apply func() (snapshot.Version, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
@@ -205,7 +206,7 @@
 	if err != nil {
 		return err
 	}
-	r.say("%s: revision %d in force on %d nodes after %d ms, with %d control bytes in all",
+	r.printf("%s: revision %d in force on %d nodes after %d ms, with %d control bytes in all",
 		verb, version.Revision, len(r.mesh.Nodes()), inForce.Sub(changed).Milliseconds(), after-before)
 	return nil
 }
@@ -213,8 +214,8 @@
 func (r *run) audit(context.Context) error {
 	audit := r.caller.audit()
 	if !audit.Kept() {
-		return eris.Errorf("the back ends' journals contradict the answers: %+v", audit)
+		return eris.Errorf("the back ends' journals contradict the outcomes that callers got: %+v", audit)
 	}
-	r.say("the back ends' journals agree: nothing ran twice, nothing was lost, nothing refused ran")
+	r.printf("the back ends' journals agree: no request ran twice, none was lost and no refused request ran")
 	return nil
 }
--- a/internal/bench/demo/demo_test.go
+++ b/internal/bench/demo/demo_test.go
@@ -19,20 +19,21 @@
 	return plan
 }
 
-func TestDemoHolds(t *testing.T) {
+// TestDemoSucceeds checks that the demo passes on the example and prints no secret.
+func TestDemoSucceeds(t *testing.T) {
 	t.Parallel()
 	var output bytes.Buffer
 	err := demo.Run(context.Background(), demo.Options{Deployment: montevideo(t), Output: &output})
 	qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", &output))
-	for _, shown := range []string{"revision 2 in force on 16 nodes", "revision 4 is refused whole", "trips.star:3", "revision 5 in force", "held"} {
+	for _, shown := range []string{"revision 2 in force on 16 nodes", "revision 4 is refused as a whole", "trips.star:3", "revision 5 in force", "all checks succeeded"} {
 		qt.Assert(t, output.String(), qt.Contains, shown)
 	}
 	qt.Assert(t, output.String(), qt.Not(qt.Contains), "shown-nowhere")
 }
 
-// TestDemoFailsWhenSomethingDoesNotHold leaves out a service that the policy
-// needs, so that its first revision is refused.
-func TestDemoFailsWhenSomethingDoesNotHold(t *testing.T) {
+// TestDemoFailsOnRefusedRevision removes a service that the policy needs, so that the
+// policy's first revision is refused and the demo must fail.
+func TestDemoFailsOnRefusedRevision(t *testing.T) {
 	t.Parallel()
 	plan := montevideo(t)
 	plan.Content.Services = []snapshot.Service{{Name: "seguimiento"}}
--- a/internal/bench/demo/policies/refused.star
+++ b/internal/bench/demo/policies/refused.star
@@ -1,3 +1,3 @@
-# A good route and a mistake: no revision holds a service of that name.
+# A valid route and an error: no revision contains a service of that name.
 route(name="read-trips", path="/trips", methods=["GET"], to="seguimiento")
 route(name="book", path="/bookings", methods=["POST"], to="ambulancias")
--- a/internal/bench/deployment/chain.go
+++ b/internal/bench/deployment/chain.go
@@ -8,22 +8,23 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// The shape of a chain deployment.
+// Parameters of a chain deployment.
 const (
 	chainRegion      = "chain"
 	chainZones       = 2
 	chainEdges       = 2
 	chainSlots       = 20
 	chainConnections = 130
-	// chainHost is replaced by On; chainFirstPort is the platform's port, and each
-	// node has the next portsPerNode.
+	// chainHost is replaced by Deployment.On. chainFirstPort is the platform's port;
+	// each node gets the next portsPerNode ports.
 	chainHost      = "127.0.0.1"
 	chainFirstPort = 23000
 	portsPerNode   = 10
 )
 
-// Chain returns a deployment without files: as many services as a call is to be
-// deep, each with some instances over two zones, and two edges. It has no policy.
+// Chain returns a generated deployment without files, for calls that pass through a
+// chain of services. Each service has the given number of instances, spread over two
+// zones, and there are two edges. It has no policy.
 func Chain(services, instances int) (*Deployment, error) {
 	plan := &Deployment{Name: fmt.Sprintf("chain of %d", services)}
 	for edge := range chainEdges {
@@ -43,7 +44,7 @@
 	return plan, nil
 }
 
-// addChainNode adds a node whose settings are all overrides.
+// addChainNode adds a node without a settings file, configured by overrides only.
 func (d *Deployment) addChainNode(name, service string, zone int) error {
 	port := chainFirstPort + (len(d.Nodes)+1)*portsPerNode
 	address := func(offset int) string { return fmt.Sprintf("%s:%d", chainHost, port+offset) }
--- a/internal/bench/deployment/deployment.go
+++ b/internal/bench/deployment/deployment.go
@@ -1,9 +1,9 @@
-// Package deployment reads a whole example deployment from a directory: the
-// settings file of each node and the first content of the platform. It starts
-// nothing.
+// Package deployment reads an example deployment from a directory: the settings
+// file of each node and the initial content of the platform. It doesn't start
+// anything.
 //
-// The directory holds settings/*.yaml, one file a node, and content.yaml with
-// services, secrets and the paths of the policies' programs.
+// The directory contains settings/*.yaml, one file for each node, and content.yaml
+// with the services, the secrets and the paths of the policy programs.
 package deployment
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// The files of a deployment.
+// The files in the directory of a deployment.
 const (
 	settingsPattern = "settings/*.yaml"
 	contentFile     = "content.yaml"
@@ -27,28 +27,28 @@
 // Node is one node of a deployment.
 type Node struct {
 	settings.Settings
-	// File is the path of its settings file.
+	// File is the path of the settings file, empty if there is none.
 	File string
-	// Overrides are what differs from the file, by dotted key.
+	// Overrides are the settings that differ from the file, by dotted key.
 	Overrides settings.Overrides
 }
 
-// With returns the node with some settings overridden, by dotted key.
+// With returns the node with additional overrides, by dotted key.
 func (n Node) With(overrides settings.Overrides) (Node, error) {
 	merged := settings.Overrides{}
 	maps.Copy(merged, n.Overrides)
 	maps.Copy(merged, overrides)
 	loaded, err := settings.Load(n.File, merged)
 	if err != nil {
-		return Node{}, eris.Wrapf(err, "settings %s", n.File)
+		return Node{}, eris.Wrapf(err, "load settings %s", n.File)
 	}
 	return Node{Settings: loaded.Settings, File: n.File, Overrides: merged}, nil
 }
 
-// Edge reports whether the node stands alone, for callers.
+// Edge reports whether the node has no back end and takes requests from callers.
 func (n Node) Edge() bool { return n.Inbound.Service == "" }
 
-// Member returns the node as the platform's list names it.
+// Member returns the node's entry in the platform's membership list.
 func (n Node) Member() membership.ListedMember {
 	address := n.Peers.Advertise
 	if address == "" {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Deployment is a set of nodes and what the platform first holds.
+// Deployment is a set of nodes and the initial content of the platform.
 type Deployment struct {
 	// Name is the name of the directory.
 	Name    string
@@ -72,7 +72,7 @@
 	Content snapshot.Content
 }
 
-// Load reads the deployment in a directory.
+// Load reads the deployment from a directory.
 func Load(directory string) (*Deployment, error) {
 	nodes, err := LoadNodes(filepath.Join(directory, settingsPattern))
 	if err != nil {
@@ -85,7 +85,7 @@
 	return &Deployment{Name: filepath.Base(directory), Nodes: nodes, Content: content}, nil
 }
 
-// LoadNodes reads the settings files that match a pattern of path/filepath.
+// LoadNodes reads the settings files that match a pattern of filepath.Glob.
 func LoadNodes(pattern string) ([]Node, error) {
 	files, err := filepath.Glob(pattern)
 	if err != nil || len(files) == 0 {
@@ -102,7 +102,7 @@
 	return nodes, nil
 }
 
-// Members returns the platform's list of all nodes.
+// Members returns the entries of all nodes in the platform's membership list.
 func (d *Deployment) Members() []membership.ListedMember {
 	members := make([]membership.ListedMember, 0, len(d.Nodes))
 	for _, node := range d.Nodes {
--- a/internal/bench/deployment/deployment_test.go
+++ b/internal/bench/deployment/deployment_test.go
@@ -13,14 +13,13 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// allReady is a fleet with many instances of everything.
+// allReady reports many ready instances of every service.
 type allReady struct{}
 
 func (allReady) ReadyInstances(string, string) int { return 100 }
 
-// TestExamples holds the example deployments to the sizes of the brief and their
-// workloads to their policies: each call finds a route that agrees with it about
-// repeats.
+// TestExamples checks the sizes of the example deployments, and that each kind of call
+// in their workloads has a route that agrees with it on whether it may be repeated.
 func TestExamples(t *testing.T) {
 	for _, row := range []struct {
 		name      string
@@ -59,8 +58,8 @@
 	}
 }
 
-// TestOnMovesEveryAddress shows that no node keeps an address of its file.
-func TestOnMovesEveryAddress(t *testing.T) {
+// TestOnReplacesEveryAddress checks that no node keeps an IP from its settings file.
+func TestOnReplacesEveryAddress(t *testing.T) {
 	plan, err := deployment.Load(filepath.Join("..", "..", "..", "examples", "kerlann"))
 	qt.Assert(t, err, qt.IsNil)
 	moved, err := plan.On("127.9.9.9")
@@ -78,8 +77,9 @@
 	}
 }
 
-// TestChainNodesHaveTheirOwnAddresses holds for the made deployment.
-func TestChainNodesHaveTheirOwnAddresses(t *testing.T) {
+// TestChainAddressesAreUnique checks that no two nodes of a generated deployment share
+// an address.
+func TestChainAddressesAreUnique(t *testing.T) {
 	const services, instances, edges = 11, 3, 2
 	plan, err := deployment.Chain(services, instances)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/bench/deployment/move.go
+++ b/internal/bench/deployment/move.go
@@ -9,13 +9,14 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// On returns the deployment with the IP of every address replaced, so that
-// several can run on one machine. The ports stay.
+// On returns the deployment with the IP of every address replaced by host, so that
+// several deployments can run on one machine. The ports stay the same.
 func (d *Deployment) On(host string) (*Deployment, error) {
 	return d.Map(func(node Node) (settings.Overrides, error) { return addressesOn(node.Settings, host) })
 }
 
-// Map returns the deployment with the overrides that change gives for each node.
+// Map returns the deployment with additional overrides for each node, which change
+// returns.
 func (d *Deployment) Map(change func(Node) (settings.Overrides, error)) (*Deployment, error) {
 	mapped := &Deployment{Name: d.Name, Content: d.Content, Nodes: make([]Node, 0, len(d.Nodes))}
 	for _, node := range d.Nodes {
@@ -32,7 +33,7 @@
 	return mapped, nil
 }
 
-// addressesOn returns the overrides that move every address to host.
+// addressesOn returns the overrides that replace the IP of every address by host.
 func addressesOn(node settings.Settings, host string) (settings.Overrides, error) {
 	platform, err := url.Parse(node.Platform.URL)
 	if err != nil {
