--- a/internal/emulator/instance/crash.go
+++ b/internal/emulator/instance/crash.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// SetMostPerSecond changes MostPerSecond of an instance that runs.
+// SetMostPerSecond changes MostPerSecond of a running instance.
 func (i *Instance) SetMostPerSecond(most int) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.MostPerSecond = most
 }
 
-// FellOver reports whether the instance got more requests than it bears.
+// FellOver reports whether the instance has failed because more than MostPerSecond requests
+// began within one second.
 func (i *Instance) FellOver() bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.fellOver
+	return i.overloaded
 }
 
-// fallOver drops the connections when too many requests began in the last second. The
-// mutex is held.
-func (i *Instance) fallOver() {
+// failIfOverloaded closes the listener and all connections if more than MostPerSecond requests
+// began in the last second. The mutex is held.
+func (i *Instance) failIfOverloaded() {
 	if i.MostPerSecond == 0 {
 		return
 	}
@@ -32,19 +33,20 @@
 	if recent <= i.MostPerSecond {
 		return
 	}
-	i.fellOver = true
-	i.drop()
+	i.overloaded = true
+	i.closeNetwork()
 }
 
-// drop ends all connections and takes no more. The mutex is held.
-func (i *Instance) drop() {
+// closeNetwork closes the listener and all connections. The mutex is held.
+func (i *Instance) closeNetwork() {
 	_ = i.listener.Close()
 	for conn := range i.conns {
 		_ = conn.Close()
 	}
 }
 
-// Crash ends the instance as a process that dies: nothing is answered any more.
+// Crash ends the instance like a process that dies: it closes the listener and all connections,
+// and answers nothing more until Restart.
 func (i *Instance) Crash() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -53,21 +55,21 @@
 	}
 	i.down = true
 	i.crashes++
-	i.drop()
+	i.closeNetwork()
 	if i.Crashed != nil {
 		i.Crashed()
 	}
 }
 
-// Crashes returns how often the instance crashed.
+// Crashes returns the number of crashes.
 func (i *Instance) Crashes() int {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.crashes
 }
 
-// Restart starts an instance that crashed again, under its name and address. It does
-// nothing for one that serves or that was closed.
+// Restart starts a crashed instance again with the same name and address. It does nothing if
+// the instance is running or was closed.
 func (i *Instance) Restart() error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -79,6 +81,6 @@
 		return err
 	}
 	i.listener, i.down = listener, false
-	i.serving.Go(func() { i.accept(listener) })
+	i.serveGroup.Go(func() { i.accept(listener) })
 	return nil
 }
--- a/internal/emulator/instance/instance.go
+++ b/internal/emulator/instance/instance.go
@@ -1,6 +1,7 @@
 // Package instance emulates an application instance of the users' platform on raw
-// connections: what it runs, what it rejects, and the bytes it spoils. It stands
-// in for one in tests; product packages never import it.
+// TCP connections: it records the requests that it runs, rejects requests, and
+// sends faulty responses. Only tests and benchmarks use it; product packages never
+// import it.
 package instance
 
 import (
@@ -25,44 +26,45 @@
 	HeaderStamp       = "Winchhead-Server-Stamp"
 )
 
-// Fault is how an instance spoils one answer.
+// Fault is a failure that the instance causes on a request.
 type Fault uint8
 
-// The faults of an answer. The request has run unless the fault says otherwise.
+// The faults of a request. The request has run unless stated otherwise.
 const (
 	// None answers properly.
 	None Fault = 0
 	// Lost closes the connection instead of answering.
 	Lost Fault = 1
-	// LostReset resets it.
+	// LostReset resets the connection instead of answering.
 	LostReset Fault = 2
-	// Cut ends the answer in its body.
+	// Cut closes the connection in the middle of the body.
 	Cut Fault = 3
-	// Unframed gives no length and ends the answer with the connection.
+	// Unframed sends no Content-Length: the answer ends when the connection is closed.
 	Unframed Fault = 4
-	// UnframedReset is Unframed, but the connection is reset in the body.
+	// UnframedReset is like Unframed, but the connection is reset instead of closed.
 	UnframedReset Fault = 5
-	// Extra sends a second whole answer behind the first.
+	// Extra sends a second complete answer after the first.
 	Extra Fault = 6
-	// Late sends an answer to another request before the right one.
+	// Late sends an answer to another request before the correct one.
 	Late Fault = 7
-	// Garbage sends bytes that are not an answer.
+	// Garbage sends bytes that are not an HTTP response.
 	Garbage Fault = 8
-	// NoStamp leaves the instance's mark out.
+	// NoStamp omits HeaderStamp.
 	NoStamp Fault = 9
-	// Reject says that the request did not run.
+	// Reject answers 503 with HeaderNotExecuted; the request does not run.
 	Reject Fault = 10
-	// OtherInstance answers 421; the request did not run.
+	// OtherInstance answers 421; the request does not run.
 	OtherInstance Fault = 11
 	// Fails answers 500.
 	Fails Fault = 12
-	// Early answers 413 before the body is read, and reads on.
+	// Early answers 413 before it reads the body, and then reads the body; the request does not
+	// run.
 	Early Fault = 13
-	// CloseAfter answers properly and says that the connection closes.
+	// CloseAfter answers properly with "Connection: close", and closes the connection.
 	CloseAfter Fault = 14
-	// Hangs begins the request and says nothing until the sender leaves.
+	// Hangs begins to run the request and sends nothing until the client disconnects.
 	Hangs Fault = 15
-	// Crashes ends the instance after the work: it drops its connections and takes no more
+	// Crashes crashes the instance after the work: it closes its connections and accepts no more
 	// until Restart.
 	Crashes Fault = 16
 )
@@ -72,55 +74,55 @@
 	ID, Method, Target, Body, Caller, Expected string
 	DeadlineMillis                             int
 	Began                                      time.Time
-	// Ended is set when the work is over.
+	// Ended is set when the work has ended.
 	Ended bool
 	// Cancelled is set when the connection closed before the answer.
 	Cancelled bool
 }
 
-// Instance is one emulated instance. Its fields are set before Start.
+// Instance is an emulated instance. Its exported fields are set before Start.
 type Instance struct {
-	// Name is its id.
+	// Name is the instance's id, which requests name in HeaderExpect.
 	Name string
-	// Address is where it listens (IP:port); empty: any port of loopback.
+	// Address is the IP:port to listen on; empty: any port of 127.0.0.1.
 	Address string
-	// Plan returns the fault for a request; nil: none.
+	// Plan returns the fault for the request with the given id; nil: no faults.
 	Plan func(id string) Fault
-	// Arrived is called for each request that comes, before anything else. nil: nothing.
+	// Arrived is called for each request that arrives, before anything else; nil: not called.
 	Arrived func(id string)
-	// MostPerSecond is how many requests the instance bears in one second, as a cold one
-	// does; with more it falls over: it drops its connections and takes no more. Zero: any.
+	// MostPerSecond is how many requests the instance can begin within one second, for example
+	// while it is cold. With more it fails: it closes its connections and accepts no more. Zero:
+	// unlimited.
 	MostPerSecond int
-	// Work is called while a request runs; it returns early when the channel
-	// closes as the sender left. nil: no work.
+	// Work is called while a request runs. It should return early when gone is closed, because
+	// the client has disconnected. nil: a request takes no time.
 	Work func(id string, gone <-chan struct{})
-	// Judge is called after the work and returns the fault of the answer instead of the
-	// plan's, unless it is None, as for a run whose calls failed. nil: the plan's stays.
+	// Judge is called after the work. A fault other than None replaces the one of Plan, for
+	// example because calls that the request made have failed. nil: not called.
 	Judge func(id string) Fault
 
-	// CrashesOn reports the requests that crash the instance, whatever the plan says; nil:
-	// none. Crashed is called after each crash.
+	// CrashesOn reports whether a request crashes the instance, whatever Plan returns; nil: none
+	// does. Crashed is called after each crash; nil: not called.
 	CrashesOn func(id string) bool
 	Crashed   func()
 
-	listener net.Listener
-	mutex    sync.Mutex
-	runs     []Run
-	accepted int
-	rejected int
-	fellOver bool
-	// down is set while the instance is crashed, closed for good; crashes counts how often
-	// it crashed.
-	down    bool
-	closed  bool
-	crashes int
-	serving sync.WaitGroup
-	conns   map[net.Conn]struct{}
-	// forgotten are connections whose next bytes meet a reset.
-	forgotten map[net.Conn]struct{}
+	listener    net.Listener
+	mutex       sync.Mutex
+	runs        []Run
+	accepted    int
+	misdirected int
+	overloaded  bool
+	// down is set from a crash until Restart, closed by Close; crashes counts the crashes.
+	down       bool
+	closed     bool
+	crashes    int
+	serveGroup sync.WaitGroup
+	conns      map[net.Conn]struct{}
+	// stale are the connections that are reset when the next request arrives on them.
+	stale map[net.Conn]struct{}
 }
 
-// Start listens and returns the address.
+// Start listens, serves in the background and returns the address.
 func (i *Instance) Start() (string, error) {
 	address := i.Address
 	if address == "" {
@@ -130,21 +132,21 @@
 	if err != nil {
 		return "", err
 	}
-	i.listener, i.conns, i.forgotten = listener, make(map[net.Conn]struct{}), make(map[net.Conn]struct{})
-	i.serving.Go(func() { i.accept(listener) })
+	i.listener, i.conns, i.stale = listener, make(map[net.Conn]struct{}), make(map[net.Conn]struct{})
+	i.serveGroup.Go(func() { i.accept(listener) })
 	return listener.Addr().String(), nil
 }
 
-// Close ends the instance and its connections.
+// Close stops the instance for good and closes its connections.
 func (i *Instance) Close() {
 	i.mutex.Lock()
 	i.closed = true
-	i.drop()
+	i.closeNetwork()
 	i.mutex.Unlock()
-	i.serving.Wait()
+	i.serveGroup.Wait()
 }
 
-// SetPlan changes the plan of a running instance; nil: no faults.
+// SetPlan changes Plan of a running instance; nil: no faults.
 func (i *Instance) SetPlan(plan func(id string) Fault) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -161,38 +163,38 @@
 	return plan(id)
 }
 
-// ForgetConnections drops all that are open without a word: whatever comes on them
-// next meets a reset and does not run.
+// ForgetConnections makes all open connections stale without telling the clients: the next
+// request on one of them is answered with a reset and does not run.
 func (i *Instance) ForgetConnections() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	for conn := range i.conns {
-		i.forgotten[conn] = struct{}{}
+		i.stale[conn] = struct{}{}
 	}
 }
 
-func (i *Instance) isForgotten(conn net.Conn) bool {
+func (i *Instance) isStale(conn net.Conn) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	_, forgotten := i.forgotten[conn]
-	return forgotten
+	_, stale := i.stale[conn]
+	return stale
 }
 
-// Runs returns what ran so far.
+// Runs returns the requests that have run or are running, in the order of their start.
 func (i *Instance) Runs() []Run {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return append([]Run(nil), i.runs...)
 }
 
-// Rejections returns how many requests were meant for another instance.
+// Rejections returns the number of requests that were answered 421.
 func (i *Instance) Rejections() int {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.rejected
+	return i.misdirected
 }
 
-// Accepted returns how many connections came.
+// Accepted returns the number of connections accepted so far.
 func (i *Instance) Accepted() int {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -212,12 +214,12 @@
 		i.accepted++
 		i.conns[conn] = struct{}{}
 		i.mutex.Unlock()
-		i.serving.Go(func() {
+		i.serveGroup.Go(func() {
 			i.serve(conn)
 			_ = conn.Close()
 			i.mutex.Lock()
 			delete(i.conns, conn)
-			delete(i.forgotten, conn)
+			delete(i.stale, conn)
 			i.mutex.Unlock()
 		})
 	}
@@ -230,18 +232,18 @@
 		if err != nil {
 			return
 		}
-		if i.isForgotten(conn) {
+		if i.isStale(conn) {
 			reset(conn)
 			return
 		}
-		if !i.answer(conn, reader, request) {
+		if !i.handle(conn, reader, request) {
 			return
 		}
 	}
 }
 
-// answer runs one request and reports whether the connection goes on.
-func (i *Instance) answer(conn net.Conn, reader *bufio.Reader, request *http.Request) bool {
+// handle serves one request and reports whether the connection stays open.
+func (i *Instance) handle(conn net.Conn, reader *bufio.Reader, request *http.Request) bool {
 	id := request.Header.Get(HeaderID)
 	if i.Arrived != nil {
 		i.Arrived(id)
@@ -253,7 +255,7 @@
 	if expected := request.Header.Get(HeaderExpect); expected != "" && expected != i.Name || fault == OtherInstance {
 		_, _ = io.Copy(io.Discard, request.Body)
 		i.mutex.Lock()
-		i.rejected++
+		i.misdirected++
 		i.mutex.Unlock()
 		return send(conn, "421 Misdirected Request", id, "", "")
 	}
@@ -271,28 +273,28 @@
 		return false
 	}
 	run := i.begin(request, string(body))
-	cancelled := i.work(conn, reader, id, fault == Hangs)
+	cancelled := i.runWork(conn, reader, id, fault == Hangs)
 	i.end(run, cancelled)
 	if fault == Crashes && !cancelled {
 		i.Crash()
 		return false
 	}
 	if i.Judge != nil && !cancelled {
-		if judged := i.Judge(id); judged != None {
-			fault = judged
+		if override := i.Judge(id); override != None {
+			fault = override
 		}
 	}
-	return !cancelled && i.spoil(conn, fault, id)
+	return !cancelled && i.respond(conn, fault, id)
 }
 
-// work runs a request while it watches for the sender's leaving.
-func (i *Instance) work(conn net.Conn, reader *bufio.Reader, id string, hangs bool) (cancelled bool) {
+// runWork calls Work, or hangs, and reports whether the client disconnected meanwhile.
+func (i *Instance) runWork(conn net.Conn, reader *bufio.Reader, id string, hangs bool) (cancelled bool) {
 	if i.Work == nil && !hangs {
 		return false
 	}
-	gone, watched := make(chan struct{}), make(chan struct{})
+	gone, peeked := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(peeked)
 		if _, err := reader.Peek(1); err != nil && !isTimeout(err) {
 			close(gone)
 		}
@@ -303,7 +305,7 @@
 		i.Work(id, gone)
 	}
 	_ = conn.SetReadDeadline(time.Unix(1, 0))
-	<-watched
+	<-peeked
 	_ = conn.SetReadDeadline(time.Time{})
 	select {
 	case <-gone:
@@ -318,7 +320,7 @@
 	return ok && timeout.Timeout()
 }
 
-// begin notes that a request runs from now on, and returns its place among the runs.
+// begin records the start of a run and returns its index in runs.
 func (i *Instance) begin(request *http.Request, body string) int {
 	deadline, _ := strconv.Atoi(request.Header.Get(HeaderDeadline))
 	i.mutex.Lock()
@@ -328,7 +330,7 @@
 		Caller: request.Header.Get(HeaderCaller), Expected: request.Header.Get(HeaderExpect),
 		DeadlineMillis: deadline, Began: time.Now(),
 	})
-	i.fallOver()
+	i.failIfOverloaded()
 	return len(i.runs) - 1
 }
 
@@ -338,14 +340,14 @@
 	i.runs[run].Ended, i.runs[run].Cancelled = true, cancelled
 }
 
-// Body is the body of the proper answer to a request.
+// Body returns the body of the proper answer to a request.
 func Body(id string) string { return "answer to " + id + " " + strings.Repeat("x", 100) }
 
 func (i *Instance) stamp() string { return HeaderStamp + ": " + i.Name + "\r\n" }
 
-// spoil answers a request that ran, with the fault, and reports whether the
-// connection goes on.
-func (i *Instance) spoil(conn net.Conn, fault Fault, id string) bool {
+// respond answers a request that has run, as the fault requires, and reports whether the
+// connection stays open.
+func (i *Instance) respond(conn net.Conn, fault Fault, id string) bool {
 	body := Body(id)
 	switch fault {
 	case Lost:
@@ -386,7 +388,7 @@
 	return err == nil
 }
 
-// reset makes the close of a connection a reset.
+// reset makes the next Close of a connection send a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/emulator/store/backup.go
+++ b/internal/emulator/store/backup.go
@@ -8,68 +8,71 @@
 	"strconv"
 )
 
-// HeaderEra names, in every answer, how often the store came back from a backup.
+// HeaderEra is the response header with the store's era, which rises by one each time the store
+// is restored from a backup.
 const HeaderEra = "Store-Era"
 
-// Backup is the content of a store at a revision.
+// Backup is a copy of the content of a store at a revision.
 type Backup struct {
 	items    map[string]Item
 	revision uint64
 }
 
-// Backup returns the content as it is now.
+// Backup returns a backup of the current content.
 func (s *Store) Backup() Backup {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return Backup{items: maps.Clone(s.items), revision: s.revision}
 }
 
-// SetEra has answers name an era from now on.
+// SetEra sets the era that responses carry from now on; zero: they carry none.
 func (s *Store) SetEra(era uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.era = era
 }
 
-// Lost is what a restored store no longer holds.
+// Lost describes the writes that a restore has lost.
 type Lost struct {
-	// items is the whole content of before; copied is what it was replaced by.
-	items  map[string]Item
-	copied Backup
+	// before is the whole content before the restore; restored is the backup that replaced it.
+	before   map[string]Item
+	restored Backup
 }
 
-// Era returns the era that answers name; zero: none.
+// Era returns the era that responses carry; zero: they carry none.
 func (s *Store) Era() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.era
 }
 
-// Restore replaces the content by that of a backup, at its revision and without a history.
-// Revisions above it are given out again. Where answers name an era, it rises by one.
+// Restore replaces the content by that of a backup, at the backup's revision and without a
+// history. Later writes use the revisions above it a second time. If an era is set, it rises by
+// one.
 func (s *Store) Restore(backup Backup) Lost {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	lost := Lost{items: s.items, copied: backup}
+	lost := Lost{before: s.items, restored: backup}
 	s.items, s.revision = maps.Clone(backup.items), backup.revision
-	s.history, s.forgot = nil, backup.revision
+	s.history, s.compactedRevision = nil, backup.revision
 	if s.era > 0 {
 		s.era++
 	}
-	s.wake()
+	s.notifyWatchers()
 	return lost
 }
 
-// Keys returns the keys whose last write is lost, sorted. A backup may be from before another
-// restore, so that revisions alone do not tell writes apart.
+// Keys returns the keys whose last write is lost, sorted. It compares values as well as
+// revisions: a backup may be older than an earlier restore, after which revisions were used a
+// second time.
 func (l Lost) Keys() (keys []string) {
-	for key, item := range l.items {
-		if copied := l.copied.items[key]; copied.Revision != item.Revision || !bytes.Equal(copied.Value, item.Value) {
+	for key, item := range l.before {
+		if copied := l.restored.items[key]; copied.Revision != item.Revision || !bytes.Equal(copied.Value, item.Value) {
 			keys = append(keys, key)
 		}
 	}
-	for key := range l.copied.items {
-		if _, listed := l.items[key]; !listed {
+	for key := range l.restored.items {
+		if _, listed := l.before[key]; !listed {
 			keys = append(keys, key)
 		}
 	}
@@ -77,22 +80,23 @@
 	return keys
 }
 
-// WriteAgain writes what a key held before the store was restored, unless it was written since.
+// WriteAgain writes the value that a key had before the restore, or deletes the key if it had
+// none, unless the key has been written since.
 func (s *Store) WriteAgain(lost Lost, key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if slices.ContainsFunc(s.history, func(since Item) bool { return since.Key == key }) {
+	if slices.ContainsFunc(s.history, func(change Item) bool { return change.Key == key }) {
 		return
 	}
-	if item, listed := lost.items[key]; listed {
+	if item, listed := lost.before[key]; listed {
 		s.put(key, item.Value)
 	} else {
 		s.remove(key)
 	}
 }
 
-// nameEra names an era in the header of an answer; zero: none.
-func nameEra(w http.ResponseWriter, era uint64) {
+// setEraHeader sets the era header of a response, unless the era is zero.
+func setEraHeader(w http.ResponseWriter, era uint64) {
 	if era > 0 {
 		w.Header().Set(HeaderEra, strconv.FormatUint(era, 10))
 	}
--- a/internal/emulator/store/backup_test.go
+++ b/internal/emulator/store/backup_test.go
@@ -6,13 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLostAfterTwoRestores: a store was restored from a backup that was older than its last
-// restore. The last configuration had been given the revision that the one in the backup has, and
-// counted as kept: nobody wrote it again, and a soak found the fleet at the one before:
-//
-//	"the source was restored with configuration 91: keeps 96 until one that is not older is read"
-//	version 109 was acknowledged 5.292s before [...] as revision 4:106
-func TestLostAfterTwoRestores(t *testing.T) {
+// A backup that is older than the previous restore can hold another value of a key at the same
+// revision. If Keys compared only revisions, the lost value would count as kept, would not be
+// written again, and the fleet would stay at an older configuration.
+func TestLostKeysAfterTwoRestores(t *testing.T) {
 	c := qt.New(t)
 	s := New()
 	s.SetEra(1)
--- a/internal/emulator/store/content.go
+++ b/internal/emulator/store/content.go
@@ -3,33 +3,33 @@
 // Keys of the store.
 const (
 	KeyConfiguration = "op/config"
-	// KeyInstances is the prefix of the entries of instances.
+	// KeyInstances is the prefix of the keys of instance entries.
 	KeyInstances = "servers/"
-	// KeyEvacuations is the prefix of the keys that evacuate zones.
+	// KeyEvacuations is the prefix of the keys that mark a zone as evacuated.
 	KeyEvacuations = "op/evacuate/"
 )
 
-// Entry is what an instance writes about itself.
+// Entry is the record that an instance writes about itself.
 type Entry struct {
-	// Born is the Unix millisecond of the start; zero: not told.
+	// Born is the start time in Unix milliseconds; zero: unknown.
 	Born    int64       `json:"born,omitempty"`
 	Address string      `json:"address"`
 	Info    EntryInfo   `json:"info"`
 	Status  EntryStatus `json:"status"`
 }
 
-// EntryInfo is the part of an Entry that stays.
+// EntryInfo is the constant part of an Entry.
 type EntryInfo struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
 	Slots   int    `json:"slots"`
 }
 
-// EntryStatus is the part of an Entry that changes.
+// EntryStatus is the variable part of an Entry.
 type EntryStatus struct {
 	State    string `json:"state"`
 	Sequence int    `json:"sequence"`
-	// ColdRemainingMs is how long the instance stays cold.
+	// ColdRemainingMs is how long the instance is still cold, in milliseconds.
 	ColdRemainingMs int64 `json:"coldRemainingMs,omitempty"`
 }
 
@@ -39,7 +39,7 @@
 	StateDraining = "draining"
 )
 
-// Configuration is what operators write.
+// Configuration is the configuration that operators write.
 type Configuration struct {
 	Version      int           `json:"version"`
 	Services     []Service     `json:"services"`
@@ -50,13 +50,13 @@
 // Service is one service of a Configuration.
 type Service struct {
 	Name string `json:"name"`
-	// ColdStartS is how long instances are cold after a start, ColdPerS how many requests
-	// such a one bears in a second; zero: they are never cold.
+	// ColdStartS is how many seconds an instance is cold after its start, and ColdPerS how many
+	// requests a second a cold instance can take; zero: instances are never cold.
 	ColdStartS float64 `json:"coldStartS,omitempty"`
 	ColdPerS   float64 `json:"coldPerS,omitempty"`
 }
 
-// Limits bound what callers send; sizes in bytes, times in milliseconds.
+// Limits bound the requests of callers. Sizes are in bytes, times in milliseconds.
 type Limits struct {
 	MaxHeaderBytes  int `json:"maxHeaderBytes"`
 	MaxBodyBytes    int `json:"maxBodyBytes"`
@@ -76,7 +76,7 @@
 	KindUnsafe = "unsafe"
 )
 
-// Route is one route; times in milliseconds.
+// Route maps a path prefix to a service. Times are in milliseconds.
 type Route struct {
 	Name            string `json:"name"`
 	PathPrefix      string `json:"pathPrefix"`
--- a/internal/emulator/store/link.go
+++ b/internal/emulator/store/link.go
@@ -9,32 +9,33 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// pacedChunk is what a paced answer sends at once, in bytes: about ten packets.
-const pacedChunk = 16 << 10
+// rateLimitChunkBytes is how many bytes a rate-limited response sends at once: about ten packets.
+const rateLimitChunkBytes = 16 << 10
 
-// leastCut is the size in bytes from which an answer brings something worth cutting.
-const leastCut = 1 << 10
+// minCutBytes is the size of the smallest body that the fault Cut truncates. Responses without
+// items are shorter.
+const minCutBytes = 1 << 10
 
-// Paced bounds the rate of an answer's body, as a link does, in bytes a second; zero: it
-// stays as it is.
+// Paced limits the rate of a response body to rate bytes a second, as a slow link does; zero:
+// unlimited.
 func Paced(w http.ResponseWriter, ctx context.Context, rate int64) http.ResponseWriter {
 	if rate == 0 {
 		return w
 	}
-	return &pacedWriter{ResponseWriter: w, ctx: ctx, rate: rate}
+	return &rateLimitedWriter{ResponseWriter: w, ctx: ctx, rate: rate}
 }
 
-// pacedWriter writes a body no faster than its rate.
-type pacedWriter struct {
+// rateLimitedWriter writes a body no faster than its rate in bytes a second.
+type rateLimitedWriter struct {
 	http.ResponseWriter
 	ctx  context.Context
 	rate int64
 }
 
 // Write implements io.Writer.
-func (w *pacedWriter) Write(body []byte) (int, error) {
+func (w *rateLimitedWriter) Write(body []byte) (int, error) {
 	written := 0
-	for chunk := range slices.Chunk(body, pacedChunk) {
+	for chunk := range slices.Chunk(body, rateLimitChunkBytes) {
 		n, err := w.ResponseWriter.Write(chunk)
 		written += n
 		if err != nil {
@@ -51,12 +52,12 @@
 	return written, nil
 }
 
-// cutWriter breaks the connection in the middle of a body of some size.
-type cutWriter struct{ http.ResponseWriter }
+// truncatingWriter closes the connection in the middle of a body of at least minCutBytes.
+type truncatingWriter struct{ http.ResponseWriter }
 
 // Write implements io.Writer.
-func (w *cutWriter) Write(body []byte) (int, error) {
-	if len(body) < leastCut {
+func (w *truncatingWriter) Write(body []byte) (int, error) {
+	if len(body) < minCutBytes {
 		return w.ResponseWriter.Write(body)
 	}
 	_, _ = w.ResponseWriter.Write(body[:len(body)/2])
--- a/internal/emulator/store/store.go
+++ b/internal/emulator/store/store.go
@@ -1,6 +1,7 @@
-// Package store emulates the users' platform's metadata store: keys with one
-// revision counter, ranges, watches that forget their history, and its faults.
-// It stands in for the platform in tests; product packages never import it.
+// Package store emulates the metadata store of the users' platform: keys with a
+// common revision counter, range reads, watches over a history that can be
+// compacted, and faults. Only tests and benchmarks use it; product packages never
+// import it.
 package store
 
 import (
@@ -15,56 +16,56 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Item is one entry, as on the wire.
+// Item is one key with its value, or the deletion of a key, as on the wire.
 type Item struct {
-	Key      string `json:"privateKey"`
-	Value    []byte `json:"value,omitempty"`
-	Revision uint64 `json:"revision"`
-	Made     uint64 `json:"made,omitempty"`
-	Lease    uint64 `json:"lease"`
-	Gone     bool   `json:"gone,omitempty"`
+	Key            string `json:"privateKey"`
+	Value          []byte `json:"value,omitempty"`
+	Revision       uint64 `json:"revision"`
+	CreateRevision uint64 `json:"made,omitempty"`
+	Lease          uint64 `json:"lease"`
+	Deleted        bool   `json:"gone,omitempty"`
 }
 
-// Fault is what happens to a call instead of its answer.
+// Fault is a failure that the store causes on a request.
 type Fault uint8
 
-// The faults of a call.
+// The faults of a request.
 const (
-	// NoFault answers.
+	// NoFault answers properly.
 	NoFault Fault = 0
-	// Busy answers 503; nothing was done.
+	// Busy answers 503 without doing anything.
 	Busy Fault = 1
 	// Throttled answers 429.
 	Throttled Fault = 2
-	// Silent never answers; the connection stays open until the caller gives up.
+	// Silent never answers; the connection stays open until the client gives up.
 	Silent Fault = 3
 	// Reset closes the connection without an answer.
 	Reset Fault = 4
-	// Garbage answers something that is not JSON.
+	// Garbage answers with a body that is not JSON.
 	Garbage Fault = 5
-	// Cut closes the connection in the middle of an answer that brings something, and answers
-	// others.
+	// Cut closes the connection in the middle of a response of at least minCutBytes, and sends
+	// shorter ones whole.
 	Cut Fault = 6
 )
 
-// Store is one emulated store. It is an http.Handler and safe for concurrent use.
+// Store is an emulated store. It is an http.Handler and safe for concurrent use.
 type Store struct {
 	router chi.Router
 
-	mutex    sync.Mutex
-	items    map[string]Item
-	history  []Item
-	forgot   uint64 // changes up to this revision are forgotten
-	revision uint64
-	era      uint64 // zero: answers name none
-	pageSize int
-	changed  chan struct{}
-	fault    func(r *http.Request) Fault
-	rate     int64 // bytes a second of answers; zero: any
-	calls    map[string]int
+	mutex             sync.Mutex
+	items             map[string]Item
+	history           []Item
+	compactedRevision uint64 // history starts after this revision
+	revision          uint64
+	era               uint64 // zero: responses carry none
+	pageSize          int
+	changed           chan struct{}
+	fault             func(r *http.Request) Fault
+	rate              int64 // of responses, in bytes a second; zero: unlimited
+	calls             map[string]int
 }
 
-// defaultPageSize is how many items a page holds.
+// defaultPageSize is the maximum number of items in the response to a range read.
 const defaultPageSize = 500
 
 // New returns an empty store.
@@ -78,12 +79,12 @@
 	return created
 }
 
-// ServeHTTP answers one call, or does what the fault in force says.
+// ServeHTTP answers a request, or causes the fault that SetFault's function returns for it.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
 	s.calls[r.URL.Path]++
 	fault := s.fault
-	nameEra(w, s.era)
+	setEraHeader(w, s.era)
 	w = Paced(w, r.Context(), s.rate)
 	s.mutex.Unlock()
 	if fault == nil {
@@ -103,104 +104,105 @@
 	case Garbage:
 		_, _ = w.Write([]byte("<html>"))
 	case Cut:
-		s.router.ServeHTTP(&cutWriter{ResponseWriter: w}, r)
+		s.router.ServeHTTP(&truncatingWriter{ResponseWriter: w}, r)
 	default:
 		s.router.ServeHTTP(w, r)
 	}
 }
 
-// SetFault sets what happens to calls from now on; nil: they are answered.
+// SetFault sets the function that returns the fault for each request from now on; nil: no
+// faults.
 func (s *Store) SetFault(fault func(r *http.Request) Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fault = fault
 }
 
-// SetRate bounds the rate of answers, in bytes a second; zero: any.
+// SetRate limits the rate of each response, in bytes a second; zero: unlimited.
 func (s *Store) SetRate(rate int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.rate = rate
 }
 
-// SetPageSize sets how many items a page holds.
+// SetPageSize sets the maximum number of items in the response to a range read.
 func (s *Store) SetPageSize(items int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pageSize = items
 }
 
-// Calls returns how many calls came to a path.
+// Calls returns the number of requests to a path.
 func (s *Store) Calls(path string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls[path]
 }
 
-// Put writes an entry and returns its revision.
+// Put writes a key and returns the revision of the write.
 func (s *Store) Put(key string, value []byte) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.put(key, value)
 }
 
-// put writes an entry. The mutex is held.
+// put is Put for callers that hold the mutex.
 func (s *Store) put(key string, value []byte) uint64 {
 	s.revision++
-	made := s.items[key].Made
-	if made == 0 {
-		made = s.revision
+	created := s.items[key].CreateRevision
+	if created == 0 {
+		created = s.revision
 	}
-	item := Item{Key: key, Value: value, Revision: s.revision, Made: made}
+	item := Item{Key: key, Value: value, Revision: s.revision, CreateRevision: created}
 	s.items[key] = item
-	s.record(item)
+	s.appendHistory(item)
 	return s.revision
 }
 
-// PutJSON writes a value in its JSON form.
+// PutJSON writes a value encoded as JSON. It panics if the value cannot be encoded.
 func (s *Store) PutJSON(key string, value any) uint64 {
 	body, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // the caller's value is not JSON
+		panic(err) // the value cannot be encoded as JSON
 	}
 	return s.Put(key, body)
 }
 
-// Delete ends an entry and returns the revision of that.
+// Delete deletes a key and returns the revision of the deletion.
 func (s *Store) Delete(key string) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.remove(key)
 }
 
-// remove ends an entry. The mutex is held.
+// remove is Delete for callers that hold the mutex.
 func (s *Store) remove(key string) uint64 {
 	s.revision++
 	delete(s.items, key)
-	s.record(Item{Key: key, Revision: s.revision, Gone: true})
+	s.appendHistory(Item{Key: key, Revision: s.revision, Deleted: true})
 	return s.revision
 }
 
-// Compact forgets the history; watches from before are answered 410.
+// Compact discards the history. Watches from an earlier revision are then answered 410.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.history, s.forgot = nil, s.revision
-	s.wake()
+	s.history, s.compactedRevision = nil, s.revision
+	s.notifyWatchers()
 }
 
-// record notes a change. The mutex is held.
-func (s *Store) record(item Item) {
+// appendHistory adds a change to the history and wakes the watches. The mutex is held.
+func (s *Store) appendHistory(item Item) {
 	s.history = append(s.history, item)
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-type rangeAnswer struct {
+type rangeResponse struct {
 	Items []Item `json:"items"`
 	More  bool   `json:"more"`
 	At    uint64 `json:"at"`
@@ -209,14 +211,14 @@
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	prefix, after := r.URL.Query().Get("pathPrefix"), r.URL.Query().Get("after")
 	s.mutex.Lock()
-	answer := rangeAnswer{Items: []Item{}, At: s.revision}
+	answer := rangeResponse{Items: []Item{}, At: s.revision}
 	for key, item := range s.items {
 		if strings.HasPrefix(key, prefix) && key > after {
 			answer.Items = append(answer.Items, item)
 		}
 	}
 	size := s.pageSize
-	nameEra(w, s.era)
+	setEraHeader(w, s.era)
 	s.mutex.Unlock()
 	slices.SortFunc(answer.Items, func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
 	if len(answer.Items) > size {
@@ -225,7 +227,7 @@
 	writeJSON(w, answer)
 }
 
-type watchAnswer struct {
+type watchResponse struct {
 	Events []Item `json:"events"`
 	At     uint64 `json:"at"`
 }
@@ -245,19 +247,19 @@
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		events, at, forgotten, changed := s.since(w, query.Get("pathPrefix"), after)
-		if forgotten {
+		events, at, compacted, changed := s.changesAfter(w, query.Get("pathPrefix"), after)
+		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		if len(events) > 0 {
-			writeJSON(w, watchAnswer{Events: events, At: at})
+			writeJSON(w, watchResponse{Events: events, At: at})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			writeJSON(w, watchAnswer{Events: []Item{}, At: at})
+			writeJSON(w, watchResponse{Events: []Item{}, At: at})
 			return
 		case <-r.Context().Done():
 			return
@@ -265,12 +267,14 @@
 	}
 }
 
-// since returns the changes after a revision, and names their era in the answer.
-func (s *Store) since(w http.ResponseWriter, prefix string, after uint64) (events []Item, at uint64, forgotten bool, changed <-chan struct{}) {
+// changesAfter returns the changes after a revision and sets the era header of the response.
+// compacted reports that the history does not cover the revision; changed is closed at the next
+// change.
+func (s *Store) changesAfter(w http.ResponseWriter, prefix string, after uint64) (events []Item, at uint64, compacted bool, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	nameEra(w, s.era)
-	if after < s.forgot || after > s.revision {
+	setEraHeader(w, s.era)
+	if after < s.compactedRevision || after > s.revision {
 		return nil, 0, true, nil
 	}
 	for _, item := range s.history {
@@ -283,5 +287,5 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // a caller that left is not told
+	_ = json.NewEncoder(w).Encode(value) // fails only when the client has gone
 }
