--- a/internal/emulator/platform/faults.go
+++ b/internal/emulator/platform/faults.go
@@ -9,35 +9,35 @@
 	"github.com/winchhead/winchhead/internal/socketbytes"
 )
 
-// FaultKind tells how the platform fails.
+// FaultKind is a way in which the platform fails.
 type FaultKind uint8
 
 // The kinds of fault.
 const (
 	FaultNone        FaultKind = iota
-	FaultUnavailable           // answers 503 with Retry-After, also to waiting reads
-	FaultReset                 // resets the connection, also of waiting reads
-	FaultStall                 // never answers while the fault stands
-	FaultStale                 // serves an old revision
+	FaultUnavailable           // answers 503 with Retry-After, including held reads
+	FaultReset                 // resets the connection, including those of held reads
+	FaultStall                 // does not answer while the fault is set
+	FaultStale                 // serves an older revision
 	FaultConflict              // serves other content under the current revision
-	FaultGarbage               // answers with bytes that are no JSON
+	FaultGarbage               // answers with bytes that are not JSON
 	FaultTruncated             // closes the connection after half of the body
-	FaultSlow                  // sends the body one piece at a time
+	FaultSlow                  // sends the body in small chunks with pauses
 )
 
-// Fault is one way of failing. The zero value mends.
+// Fault is a failure with its parameters. The zero value is no failure.
 type Fault struct {
 	Kind FaultKind
-	// Revision is what FaultStale serves; zero freezes the revision held when the
-	// fault is set.
+	// Revision is the revision that FaultStale serves; zero stands for the latest
+	// one at the time the fault is set.
 	Revision snapshot.Revision
-	// Pause is the time between two pieces of FaultSlow.
+	// Pause is the time between two chunks of FaultSlow.
 	Pause time.Duration
 }
 
-// spoilsBody reports whether the fault concerns bodies. Such a platform answers
-// with a body also where it would answer 304.
-func (f Fault) spoilsBody() bool {
+// affectsBody reports whether the fault changes how bodies are sent. With such a
+// fault the platform sends a body even where it would otherwise answer 304.
+func (f Fault) affectsBody() bool {
 	return f.Kind == FaultGarbage || f.Kind == FaultTruncated || f.Kind == FaultSlow
 }
 
@@ -50,20 +50,21 @@
 	ServiceMembers       Service = 2
 )
 
-// Scope tells whom a fault meets.
+// Scope selects the requests that a fault affects.
 type Scope struct {
 	// Service limits the fault to one service; zero means both.
 	Service Service
-	// Client limits the fault to the client with that name in the
-	// Winchhead-Node header; empty means all.
+	// Client limits the fault to the client with this name in the
+	// Winchhead-Node header; empty means all clients.
 	Client string
 }
 
 // faultTable holds the fault of each scope.
 type faultTable map[Scope]Fault
 
-// of returns the fault for one client of one service; the narrowest scope wins.
-func (t faultTable) of(service Service, client string) Fault {
+// lookup returns the fault for a client of a service. The narrowest scope takes
+// precedence; a scope with a client is narrower than one with a service.
+func (t faultTable) lookup(service Service, client string) Fault {
 	scopes := []Scope{{service, client}, {0, client}, {service, ""}, {0, ""}}
 	for _, scope := range scopes {
 		if fault, ok := t[scope]; ok {
@@ -73,8 +74,8 @@
 	return Fault{}
 }
 
-// Fail sets the fault of a scope, at once and for waiting reads too. The zero
-// Fault of a narrow scope exempts it from the fault of a wider one.
+// Fail sets the fault of a scope. It takes effect at once, also on held reads. The
+// zero Fault exempts a narrow scope from the fault of a wider one.
 func (p *Platform) Fail(scope Scope, fault Fault) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -93,19 +94,20 @@
 	p.broadcast()
 }
 
-// conflictService is what FaultConflict adds to the content.
+// conflictService is the name of the service that FaultConflict adds to the content.
 const conflictService = "conflicting"
 
-// conflicting returns other content under the same revision.
-func conflicting(published *publication) (*publication, error) {
+// conflictingPublication returns a publication with the same revision and other
+// content.
+func conflictingPublication(published *publication) (*publication, error) {
 	content := published.content
 	services := append([]snapshot.Service{}, content.Services...)
-	put(&services, serviceName, snapshot.Service{Name: conflictService})
+	upsert(&services, serviceName, snapshot.Service{Name: conflictService})
 	content.Services = services
 	return newPublication(content)
 }
 
-// reset drops the connection with a TCP reset where it can.
+// reset closes the connection, with a TCP reset where possible.
 func reset(w http.ResponseWriter) {
 	connection, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/emulator/platform/members.go
+++ b/internal/emulator/platform/members.go
@@ -11,27 +11,27 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// Distortion makes the membership list wrong while it is set.
+// Distortion is a set of errors in the membership list.
 type Distortion struct {
-	// Missing are left out of the list although they are members.
+	// Missing are members that the list leaves out.
 	Missing []membership.NodeID
-	// Ghosts are listed although they are no members.
-	Ghosts []membership.ListedMember
+	// Extra are listed although they are not members.
+	Extra []membership.ListedMember
 }
 
-// memberList is the membership as it is and as the list shows it.
+// memberList holds the actual membership and the list that is served.
 type memberList struct {
-	real       []membership.ListedMember
-	revision   uint64                    // counts the lists that were shown
-	listed     []membership.ListedMember // real as it was one lag ago
-	changes    uint64                    // changes of real
-	shown      uint64                    // the latest change in listed
-	distortion Distortion
-	served     *servedList // the encoded form; nil after a change
+	real         []membership.ListedMember
+	revision     uint64                    // number of lists encoded so far
+	listed       []membership.ListedMember // real as it was MemberLag ago
+	changes      uint64                    // number of changes of real
+	listedChange uint64                    // the latest change that listed contains
+	distortion   Distortion
+	encoded      *encodedList // nil after a change
 }
 
-// servedList is the encoded form of the list.
-type servedList struct {
+// encodedList is the encoded form of the list.
+type encodedList struct {
 	body []byte
 	etag string
 }
@@ -47,7 +47,7 @@
 // it after the lag.
 func (p *Platform) PutMember(member membership.ListedMember) {
 	p.changeMembers(func(members []membership.ListedMember) []membership.ListedMember {
-		put(&members, memberName, member)
+		upsert(&members, memberName, member)
 		return members
 	})
 }
@@ -55,28 +55,28 @@
 // RemoveMember removes a member, if it is one. The list shows it after the lag.
 func (p *Platform) RemoveMember(node membership.NodeID) {
 	p.changeMembers(func(members []membership.ListedMember) []membership.ListedMember {
-		return slices.DeleteFunc(members, named(memberName, string(node)))
+		return slices.DeleteFunc(members, hasName(memberName, string(node)))
 	})
 }
 
-// Members returns the membership as it is, not as the list shows it.
+// Members returns the actual membership, which the list can differ from.
 func (p *Platform) Members() []membership.ListedMember {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return slices.Clone(p.members.real)
 }
 
-// Distort makes the list wrong at once; the zero Distortion mends it at once.
+// Distort applies a distortion to the list at once; the zero Distortion removes it.
 func (p *Platform) Distort(distortion Distortion) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.members.distortion = distortion
-	p.members.served = nil
+	p.members.encoded = nil
 	p.broadcast()
 }
 
-// changeMembers applies edit to a copy of the members and shows the result after
-// the lag. Lags are equal, so that results show in the order of the changes.
+// changeMembers applies edit to a copy of the members and lists the result after
+// the lag. The lag is the same for all changes, so they are listed in their order.
 func (p *Platform) changeMembers(edit func([]membership.ListedMember) []membership.ListedMember) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -84,39 +84,39 @@
 	p.members.real = next
 	p.members.changes++
 	if p.options.MemberLag <= 0 {
-		p.show(next)
+		p.setListed(next)
 		return
 	}
 	change := p.members.changes
 	time.AfterFunc(p.options.MemberLag, func() {
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
-		if change > p.members.shown {
-			p.members.shown = change
-			p.show(next)
+		if change > p.members.listedChange {
+			p.members.listedChange = change
+			p.setListed(next)
 		}
 	})
 }
 
-// show puts members in the list; the mutex is held.
-func (p *Platform) show(members []membership.ListedMember) {
+// setListed replaces the served list; the mutex is held.
+func (p *Platform) setListed(members []membership.ListedMember) {
 	p.members.listed = members
-	p.members.served = nil
+	p.members.encoded = nil
 	p.broadcast()
 }
 
-// serve returns the encoded list with its distortion; the platform's mutex is
-// held.
-func (l *memberList) serve() (*servedList, error) {
-	if l.served != nil {
-		return l.served, nil
+// encode returns the encoded list with the distortion applied; the platform's
+// mutex is held.
+func (l *memberList) encode() (*encodedList, error) {
+	if l.encoded != nil {
+		return l.encoded, nil
 	}
 	listed := append([]membership.ListedMember{}, l.listed...)
 	for _, missing := range l.distortion.Missing {
-		listed = slices.DeleteFunc(listed, named(memberName, string(missing)))
+		listed = slices.DeleteFunc(listed, hasName(memberName, string(missing)))
 	}
-	for _, ghost := range l.distortion.Ghosts {
-		put(&listed, memberName, ghost)
+	for _, extra := range l.distortion.Extra {
+		upsert(&listed, memberName, extra)
 	}
 	l.revision++
 	body, err := json.Marshal(struct {
@@ -126,8 +126,8 @@
 	if err != nil {
 		return nil, err
 	}
-	l.served = &servedList{body: body, etag: fmt.Sprintf("%q", fmt.Sprintf("%016x", xxhash.Sum64(body)))}
-	return l.served, nil
+	l.encoded = &encodedList{body: body, etag: fmt.Sprintf("%q", fmt.Sprintf("%016x", xxhash.Sum64(body)))}
+	return l.encoded, nil
 }
 
 func memberName(member membership.ListedMember) string { return string(member.Node) }
--- a/internal/emulator/platform/platform.go
+++ b/internal/emulator/platform/platform.go
@@ -1,8 +1,8 @@
 // Package platform emulates the platform that winchhead reads: the configuration
-// service, with a write side that only operators use, and the lagging membership
-// list. It counts and limits its readers and fails on demand. It serves the
-// protocol published in package source. It checks neither policy programs nor
-// references between resources, as refusing bad ones is the product's job.
+// service, with a write API for operators, and the membership list, which can lag
+// behind the membership. It serves the protocol published in package source, counts
+// and limits its readers, and causes faults on demand. It checks neither policy
+// programs nor references between resources: the product has to refuse bad ones.
 package platform
 
 import (
@@ -23,22 +23,22 @@
 	DefaultRetryAfter   = time.Second
 )
 
-// Options sets up a Platform. The zero value is a platform with an empty
-// configuration, an empty list without lag and no limit of readers.
+// Options configures a Platform. With the zero value the configuration and the
+// membership list are empty, and there is no lag and no limit of readers.
 type Options struct {
-	// Content is the first document. A zero Revision stands for 1.
+	// Content is the first configuration. A zero Revision stands for 1.
 	Content snapshot.Content
-	// Members is the first membership list, visible at once.
+	// Members is the initial membership, which is listed at once.
 	Members []membership.ListedMember
-	// MemberLag is how long a change of the members takes to show in the list.
+	// MemberLag is the time until a change of the membership is listed.
 	MemberLag time.Duration
 	// MaxReaders is how many distinct clients may read the configuration at one
-	// time; others are answered with 429. Zero sets no limit.
+	// time; others are answered 429. Zero means no limit.
 	MaxReaders int
-	// ReaderWindow is how long after its last read a client counts as a reader;
-	// zero takes DefaultReaderWindow.
+	// ReaderWindow is how long a client counts as a reader after its last read;
+	// zero means DefaultReaderWindow.
 	ReaderWindow time.Duration
-	// RetryAfter is sent with 429 and 503, in whole seconds; zero takes
+	// RetryAfter is sent with 429 and 503, rounded up to whole seconds; zero means
 	// DefaultRetryAfter.
 	RetryAfter time.Duration
 }
@@ -46,18 +46,18 @@
 // Platform is an emulated platform. It is safe for concurrent use.
 type Platform struct {
 	options Options
-	readers *readerCensus
+	readers *readerLimiter
 	bytes   socketbytes.Counter
 	counts  counts
 
 	mutex   sync.Mutex
-	changed chan struct{} // closed and replaced at each change of what is below
+	changed chan struct{} // closed and replaced when a field below changes
 	history []*publication
 	members memberList
 	faults  faultTable
 }
 
-// New returns a platform that has published its first revision.
+// New returns a platform that has published options.Content as its first revision.
 func New(options Options) (*Platform, error) {
 	if options.ReaderWindow <= 0 {
 		options.ReaderWindow = DefaultReaderWindow
@@ -72,7 +72,7 @@
 	}
 	return &Platform{
 		options: options,
-		readers: newReaderCensus(options.MaxReaders, options.ReaderWindow),
+		readers: newReaderLimiter(options.MaxReaders, options.ReaderWindow),
 		changed: make(chan struct{}),
 		history: []*publication{first},
 		members: memberList{real: options.Members, listed: options.Members},
@@ -80,24 +80,24 @@
 	}, nil
 }
 
-// Version returns the version that the platform holds now, whatever it serves.
+// Version returns the latest published version, whatever the faults make it serve.
 func (p *Platform) Version() snapshot.Version {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.latest().version
 }
 
-// Content returns the content that the platform holds now. The caller must not
-// change what the slices hold.
+// Content returns the latest published content. The caller must not change the
+// elements of its slices.
 func (p *Platform) Content() snapshot.Content {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.latest().content
 }
 
-// Change publishes one new revision with all that edit changes. It returns the
-// new version, or an error and no change when edit fails or the result is not a
-// document (such as one with a duplicate name).
+// Change publishes one new revision with all the changes that edit makes, and
+// returns the new version. If edit fails or the result is not a valid document (for
+// example because of a duplicate name), it returns an error and publishes nothing.
 func (p *Platform) Change(edit func(content *snapshot.Content) error) (snapshot.Version, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -121,7 +121,7 @@
 	return published.version, nil
 }
 
-// SetContent publishes the content as one new revision; its Revision is ignored.
+// SetContent publishes the content as a new revision; content.Revision is ignored.
 func (p *Platform) SetContent(content snapshot.Content) (snapshot.Version, error) {
 	return p.Change(func(next *snapshot.Content) error {
 		*next = content
@@ -129,11 +129,11 @@
 	})
 }
 
-// Submit publishes a new policy. It fails with ErrExists if there is one of its
-// name.
+// Submit publishes a new policy. It returns ErrExists if a policy of that name
+// exists.
 func (p *Platform) Submit(policy snapshot.Policy) (snapshot.Version, error) {
 	return p.Change(func(content *snapshot.Content) error {
-		if slices.ContainsFunc(content.Policies, named(policyName, policy.Name)) {
+		if slices.ContainsFunc(content.Policies, hasName(policyName, policy.Name)) {
 			return eris.Wrapf(ErrExists, "policy %q", policy.Name)
 		}
 		content.Policies = append(content.Policies, policy)
@@ -141,53 +141,53 @@
 	})
 }
 
-// Revise publishes another program of a policy. It fails with ErrAbsent if there
-// is none of its name.
+// Revise publishes another program of a policy. It returns ErrNotFound if no policy
+// has that name.
 func (p *Platform) Revise(policy snapshot.Policy) (snapshot.Version, error) {
 	return p.Change(func(content *snapshot.Content) error {
-		at := slices.IndexFunc(content.Policies, named(policyName, policy.Name))
+		at := slices.IndexFunc(content.Policies, hasName(policyName, policy.Name))
 		if at < 0 {
-			return eris.Wrapf(ErrAbsent, "policy %q", policy.Name)
+			return eris.Wrapf(ErrNotFound, "policy %q", policy.Name)
 		}
 		content.Policies[at] = policy
 		return nil
 	})
 }
 
-// Withdraw publishes a revision without the policy. It fails with ErrAbsent if
-// there is none of that name.
+// Withdraw publishes a revision without the policy. It returns ErrNotFound if no policy
+// has that name.
 func (p *Platform) Withdraw(name string) (snapshot.Version, error) {
 	return p.Change(func(content *snapshot.Content) error {
 		return remove(&content.Policies, policyName, name)
 	})
 }
 
-// PutService publishes a new service or another state of one.
+// PutService publishes a new service, or replaces the one of the same name.
 func (p *Platform) PutService(service snapshot.Service) (snapshot.Version, error) {
 	return p.Change(func(content *snapshot.Content) error {
-		put(&content.Services, serviceName, service)
+		upsert(&content.Services, serviceName, service)
 		return nil
 	})
 }
 
-// DeleteService publishes a revision without the service. It fails with
-// ErrAbsent if there is none of that name.
+// DeleteService publishes a revision without the service. It returns ErrNotFound if no
+// service has that name.
 func (p *Platform) DeleteService(name string) (snapshot.Version, error) {
 	return p.Change(func(content *snapshot.Content) error {
 		return remove(&content.Services, serviceName, name)
 	})
 }
 
-// PutSecret publishes a new secret or another value of one.
+// PutSecret publishes a new secret, or replaces the one of the same name.
 func (p *Platform) PutSecret(secret snapshot.Secret) (snapshot.Version, error) {
 	return p.Change(func(content *snapshot.Content) error {
-		put(&content.Secrets, secretName, secret)
+		upsert(&content.Secrets, secretName, secret)
 		return nil
 	})
 }
 
-// DeleteSecret publishes a revision without the secret. It fails with ErrAbsent
-// if there is none of that name.
+// DeleteSecret publishes a revision without the secret. It returns ErrNotFound if no
+// secret has that name.
 func (p *Platform) DeleteSecret(name string) (snapshot.Version, error) {
 	return p.Change(func(content *snapshot.Content) error {
 		return remove(&content.Secrets, secretName, name)
@@ -197,7 +197,7 @@
 // latest returns the newest publication; the mutex is held.
 func (p *Platform) latest() *publication { return p.history[len(p.history)-1] }
 
-// broadcast wakes all waiting reads; the mutex is held.
+// broadcast wakes all held reads; the mutex is held.
 func (p *Platform) broadcast() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/internal/emulator/platform/platform_test.go
+++ b/internal/emulator/platform/platform_test.go
@@ -19,8 +19,8 @@
 	"github.com/winchhead/winchhead/internal/source"
 )
 
-// inBubble runs a test under virtual time.
-func inBubble(t *testing.T, test func(c *qt.C)) {
+// withVirtualTime runs a test with the virtual time of synctest.
+func withVirtualTime(t *testing.T, test func(c *qt.C)) {
 	synctest.Test(t, func(t *testing.T) { test(qt.New(t)) })
 }
 
@@ -30,15 +30,14 @@
 	return emulator
 }
 
-// read is one request to the read side, in progress or ended.
+// read is a request to the read API, in progress or ended.
 type read struct {
 	*httptest.ResponseRecorder
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// ask begins a request of the named client and lets it run until it is answered
-// or waits.
+// ask starts a request of the named client and returns when it is answered or held.
 func ask(p *Platform, client, target string, header ...string) *read {
 	ctx, cancel := context.WithCancel(context.Background())
 	request := httptest.NewRequest(http.MethodGet, target, nil).WithContext(ctx)
@@ -55,7 +54,7 @@
 	return r
 }
 
-func (r *read) waits() bool {
+func (r *read) held() bool {
 	select {
 	case <-r.done:
 		return false
@@ -64,24 +63,24 @@
 	}
 }
 
-func awaitTarget(after int) string {
+func headWaitTarget(after int) string {
 	return fmt.Sprintf("%s?after=%d&wait=20s", source.HeadPath, after)
 }
 
-func TestAChangeAnswersAllWaitingReads(t *testing.T) {
-	inBubble(t, func(c *qt.C) {
+func TestChangeAnswersAllHeldReads(t *testing.T) {
+	withVirtualTime(t, func(c *qt.C) {
 		const readers = 2000
 		emulator := start(c, Options{})
 		var reads []*read
 		for i := range readers {
-			reads = append(reads, ask(emulator, fmt.Sprint("n", i), awaitTarget(1)))
+			reads = append(reads, ask(emulator, fmt.Sprint("n", i), headWaitTarget(1)))
 		}
 		c.Assert(emulator.Statistics().Waiting, qt.Equals, int64(readers))
 		version, err := emulator.Submit(snapshot.Policy{Name: "trips"})
 		c.Assert(err, qt.IsNil)
 		synctest.Wait()
 		for _, r := range reads {
-			c.Assert(r.waits(), qt.IsFalse)
+			c.Assert(r.held(), qt.IsFalse)
 			var head snapshot.Version
 			c.Assert(json.Unmarshal(r.Body.Bytes(), &head), qt.IsNil)
 			c.Assert(head, qt.Equals, version)
@@ -90,62 +89,62 @@
 	})
 }
 
-func TestAWaitEnds(t *testing.T) {
-	inBubble(t, func(c *qt.C) {
+func TestHeldReadEndsAfterItsWait(t *testing.T) {
+	withVirtualTime(t, func(c *qt.C) {
 		emulator := start(c, Options{})
-		r := ask(emulator, "n1", awaitTarget(1))
+		r := ask(emulator, "n1", headWaitTarget(1))
 		time.Sleep(20*time.Second - time.Nanosecond)
-		c.Assert(r.waits(), qt.IsTrue)
+		c.Assert(r.held(), qt.IsTrue)
 		time.Sleep(time.Nanosecond)
 		synctest.Wait()
-		c.Assert(r.waits(), qt.IsFalse)
+		c.Assert(r.held(), qt.IsFalse)
 		c.Assert(r.Code, qt.Equals, http.StatusOK)
 	})
 }
 
 func TestReadersAreCountedAndLimited(t *testing.T) {
-	inBubble(t, func(c *qt.C) {
+	withVirtualTime(t, func(c *qt.C) {
 		emulator := start(c, Options{MaxReaders: 2, RetryAfter: 1500 * time.Millisecond})
-		first := ask(emulator, "n1", awaitTarget(1))
-		second := ask(emulator, "n2", awaitTarget(1))
+		first := ask(emulator, "n1", headWaitTarget(1))
+		second := ask(emulator, "n2", headWaitTarget(1))
 		again := ask(emulator, "n2", source.ConfigurationPath)
-		refused := ask(emulator, "n3", awaitTarget(1))
+		refused := ask(emulator, "n3", headWaitTarget(1))
 		c.Assert(again.Code, qt.Equals, http.StatusOK)
-		c.Assert(refused.waits(), qt.IsFalse)
+		c.Assert(refused.held(), qt.IsFalse)
 		c.Assert(refused.Code, qt.Equals, http.StatusTooManyRequests)
 		c.Assert(refused.Header().Get("Retry-After"), qt.Equals, "2")
-		c.Assert(ask(emulator, "n3", source.MembersPath).Code, qt.Equals, http.StatusOK, qt.Commentf("the list is not limited"))
+		c.Assert(ask(emulator, "n3", source.MembersPath).Code, qt.Equals, http.StatusOK, qt.Commentf("MaxReaders must not limit the membership list"))
 		statistics := emulator.Statistics()
 		c.Assert([]int{statistics.Readers, statistics.ReadersMax, statistics.Asking}, qt.DeepEquals, []int{2, 2, 3})
 		c.Assert(statistics.Refused, qt.Equals, int64(1))
 
-		first.cancel() // a reader that goes counts until its window is over
+		first.cancel() // a client counts as a reader until its window has passed
 		<-first.done
-		c.Assert(ask(emulator, "n3", awaitTarget(1)).Code, qt.Equals, http.StatusTooManyRequests)
+		c.Assert(ask(emulator, "n3", headWaitTarget(1)).Code, qt.Equals, http.StatusTooManyRequests)
 		time.Sleep(DefaultReaderWindow)
-		admitted := ask(emulator, "n3", awaitTarget(1))
-		c.Assert(admitted.waits(), qt.IsTrue)
-		c.Assert(second.waits(), qt.IsTrue)
+		admitted := ask(emulator, "n3", headWaitTarget(1))
+		c.Assert(admitted.held(), qt.IsTrue)
+		c.Assert(second.held(), qt.IsTrue)
 		c.Assert(emulator.Statistics().ReadersMax, qt.Equals, 2)
 		admitted.cancel()
 		second.cancel()
 	})
 }
 
-func TestClientsWithoutANameAreCountedByConnection(t *testing.T) {
+func TestUnnamedClientsAreCountedByConnection(t *testing.T) {
 	c := qt.New(t)
 	request := httptest.NewRequest(http.MethodGet, source.HeadPath, nil)
 	c.Assert(clientOf(request), qt.Equals, request.RemoteAddr)
 }
 
-func listing(node membership.NodeID) membership.ListedMember {
+func liveMember(node membership.NodeID) membership.ListedMember {
 	return membership.ListedMember{Node: node, PeerAddress: "127.0.0.1:7000", State: membership.ListedLive}
 }
 
-func TestTheListLagsAndMisleads(t *testing.T) {
-	inBubble(t, func(c *qt.C) {
+func TestMemberListLagAndDistortion(t *testing.T) {
+	withVirtualTime(t, func(c *qt.C) {
 		const lag = 30 * time.Second
-		emulator := start(c, Options{Members: []membership.ListedMember{listing("a")}, MemberLag: lag})
+		emulator := start(c, Options{Members: []membership.ListedMember{liveMember("a")}, MemberLag: lag})
 		listed := func() []membership.NodeID {
 			var list struct{ Members []membership.ListedMember }
 			c.Assert(json.Unmarshal(ask(emulator, "n1", source.MembersPath).Body.Bytes(), &list), qt.IsNil)
@@ -155,59 +154,59 @@
 			}
 			return nodes
 		}
-		held := ask(emulator, "n1", source.MembersPath).Header().Get("ETag")
-		waiting := ask(emulator, "n1", source.MembersPath+"?wait=50s", "If-None-Match", held)
-		emulator.PutMember(listing("b"))
+		etag := ask(emulator, "n1", source.MembersPath).Header().Get("ETag")
+		waiting := ask(emulator, "n1", source.MembersPath+"?wait=50s", "If-None-Match", etag)
+		emulator.PutMember(liveMember("b"))
 		time.Sleep(lag / 2)
 		emulator.RemoveMember("a")
-		c.Assert(emulator.Members(), qt.DeepEquals, []membership.ListedMember{listing("b")})
-		c.Assert(waiting.waits(), qt.IsTrue)
+		c.Assert(emulator.Members(), qt.DeepEquals, []membership.ListedMember{liveMember("b")})
+		c.Assert(waiting.held(), qt.IsTrue)
 		c.Assert(listed(), qt.DeepEquals, []membership.NodeID{"a"})
 		time.Sleep(lag / 2)
 		synctest.Wait()
-		c.Assert(waiting.waits(), qt.IsFalse)
+		c.Assert(waiting.held(), qt.IsFalse)
 		c.Assert(listed(), qt.DeepEquals, []membership.NodeID{"a", "b"})
 		time.Sleep(lag / 2)
-		synctest.Wait() // the list changes at this very time
+		synctest.Wait() // the lag of the second change ends now
 		c.Assert(listed(), qt.DeepEquals, []membership.NodeID{"b"})
 
-		emulator.Distort(Distortion{Missing: []membership.NodeID{"b"}, Ghosts: []membership.ListedMember{listing("ghost")}})
+		emulator.Distort(Distortion{Missing: []membership.NodeID{"b"}, Extra: []membership.ListedMember{liveMember("ghost")}})
 		c.Assert(listed(), qt.DeepEquals, []membership.NodeID{"ghost"})
 		emulator.Distort(Distortion{})
 		c.Assert(listed(), qt.DeepEquals, []membership.NodeID{"b"})
 	})
 }
 
-func TestFaultsMeetWaitingReadsOfTheirScope(t *testing.T) {
-	inBubble(t, func(c *qt.C) {
+func TestFaultsAffectHeldReadsInScope(t *testing.T) {
+	withVirtualTime(t, func(c *qt.C) {
 		emulator := start(c, Options{})
-		met := ask(emulator, "n1", awaitTarget(1))
-		exempt := ask(emulator, "n2", awaitTarget(1))
+		affected := ask(emulator, "n1", headWaitTarget(1))
+		exempt := ask(emulator, "n2", headWaitTarget(1))
 		emulator.Fail(Scope{Client: "n2"}, Fault{})
 		emulator.Fail(Scope{Service: ServiceConfiguration}, Fault{Kind: FaultUnavailable})
 		synctest.Wait()
-		c.Assert(met.Code, qt.Equals, http.StatusServiceUnavailable)
-		c.Assert(exempt.waits(), qt.IsTrue)
+		c.Assert(affected.Code, qt.Equals, http.StatusServiceUnavailable)
+		c.Assert(exempt.held(), qt.IsTrue)
 		c.Assert(ask(emulator, "n1", source.MembersPath).Code, qt.Equals, http.StatusOK)
 
 		emulator.Mend()
-		emulator.Fail(Scope{Client: "n1"}, Fault{Kind: FaultStale}) // frozen at revision 1
+		emulator.Fail(Scope{Client: "n1"}, Fault{Kind: FaultStale}) // keeps serving revision 1
 		_, err := emulator.Submit(snapshot.Policy{Name: "trips"})
 		c.Assert(err, qt.IsNil)
 		synctest.Wait()
-		c.Assert(exempt.waits(), qt.IsFalse)
-		stale := ask(emulator, "n1", awaitTarget(1))
-		c.Assert(stale.waits(), qt.IsTrue)
+		c.Assert(exempt.held(), qt.IsFalse)
+		stale := ask(emulator, "n1", headWaitTarget(1))
+		c.Assert(stale.held(), qt.IsTrue)
 		emulator.Fail(Scope{Client: "n1"}, Fault{Kind: FaultStall})
 		time.Sleep(time.Hour)
-		c.Assert(stale.waits(), qt.IsTrue, qt.Commentf("a stalled read outlives its wait"))
+		c.Assert(stale.held(), qt.IsTrue, qt.Commentf("a stalled read must not be answered when its wait ends"))
 		emulator.Mend()
 		synctest.Wait()
-		c.Assert(stale.waits(), qt.IsFalse)
+		c.Assert(stale.held(), qt.IsFalse)
 	})
 }
 
-func TestEachChangeOfTheOperatorsIsOneRevision(t *testing.T) {
+func TestOperatorChangePublishesOneRevision(t *testing.T) {
 	c := qt.New(t)
 	emulator := start(c, Options{})
 	for i, test := range []struct {
@@ -242,12 +241,12 @@
 	c.Assert(emulator.Content().Services, qt.DeepEquals, []snapshot.Service{{Name: "a"}})
 }
 
-func TestSubmitReviseAndWithdrawAreStrict(t *testing.T) {
+func TestSubmitReviseAndWithdrawCheckExistence(t *testing.T) {
 	c := qt.New(t)
 	emulator := start(c, Options{})
 	policy := snapshot.Policy{Name: "trips"}
 	_, err := emulator.Revise(policy)
-	c.Assert(errors.Is(err, ErrAbsent), qt.IsTrue)
+	c.Assert(errors.Is(err, ErrNotFound), qt.IsTrue)
 	_, err = emulator.Submit(policy)
 	c.Assert(err, qt.IsNil)
 	_, err = emulator.Submit(policy)
@@ -255,6 +254,6 @@
 	_, err = emulator.Withdraw("trips")
 	c.Assert(err, qt.IsNil)
 	_, err = emulator.Withdraw("trips")
-	c.Assert(errors.Is(err, ErrAbsent), qt.IsTrue)
+	c.Assert(errors.Is(err, ErrNotFound), qt.IsTrue)
 	c.Assert(emulator.Version().Revision, qt.Equals, snapshot.Revision(3))
 }
--- a/internal/emulator/platform/publication.go
+++ b/internal/emulator/platform/publication.go
@@ -9,13 +9,13 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// Errors of the operators' write side.
+// Errors of changes to the configuration.
 var (
-	ErrExists = eris.New("it exists already")
-	ErrAbsent = eris.New("it does not exist")
+	ErrExists   = eris.New("it exists already")
+	ErrNotFound = eris.New("it does not exist")
 )
 
-// publication is one published revision in the form in which it is served.
+// publication is a published revision and its encoded forms.
 type publication struct {
 	content snapshot.Content
 	version snapshot.Version
@@ -42,14 +42,14 @@
 func policyName(policy snapshot.Policy) string    { return policy.Name }
 func secretName(secret snapshot.Secret) string    { return secret.Name }
 
-// named returns a predicate for the resource of that name.
-func named[T any](nameOf func(T) string, name string) func(T) bool {
+// hasName returns a function that reports whether a resource has the name.
+func hasName[T any](nameOf func(T) string, name string) func(T) bool {
 	return func(resource T) bool { return nameOf(resource) == name }
 }
 
-// put replaces the resource of the same name or appends it.
-func put[T any](resources *[]T, nameOf func(T) string, resource T) {
-	at := slices.IndexFunc(*resources, named(nameOf, nameOf(resource)))
+// upsert replaces the resource of the same name, or appends the resource.
+func upsert[T any](resources *[]T, nameOf func(T) string, resource T) {
+	at := slices.IndexFunc(*resources, hasName(nameOf, nameOf(resource)))
 	if at < 0 {
 		*resources = append(*resources, resource)
 		return
@@ -57,11 +57,11 @@
 	(*resources)[at] = resource
 }
 
-// remove deletes the resource of that name or returns ErrAbsent.
+// remove deletes the resource with the name, or returns ErrNotFound if there is none.
 func remove[T any](resources *[]T, nameOf func(T) string, name string) error {
-	at := slices.IndexFunc(*resources, named(nameOf, name))
+	at := slices.IndexFunc(*resources, hasName(nameOf, name))
 	if at < 0 {
-		return eris.Wrapf(ErrAbsent, "%q", name)
+		return eris.Wrapf(ErrNotFound, "%q", name)
 	}
 	*resources = slices.Delete(*resources, at, at+1)
 	return nil
--- a/internal/emulator/platform/readers.go
+++ b/internal/emulator/platform/readers.go
@@ -8,9 +8,9 @@
 	"github.com/winchhead/winchhead/internal/source"
 )
 
-// clientOf names the client of a request. A node says its name in a header. A
-// client that does not is named by its IP and port, so each of its connections
-// counts as a client: the count is then too high, never too low.
+// clientOf returns the name of a request's client. A node sends its name in a
+// header. A client without that header is named by its IP and port, so that each
+// of its connections counts as a client: the count can be too high, never too low.
 func clientOf(r *http.Request) string {
 	if name := r.Header.Get(source.NodeHeader); name != "" {
 		return name
@@ -18,28 +18,29 @@
 	return r.RemoteAddr
 }
 
-// presence is when one client was last seen.
-type presence struct {
+// clientActivity holds the reads in progress of a client and the time at which its
+// latest read began or ended.
+type clientActivity struct {
 	active int // reads in progress
 	last   time.Time
 }
 
-// census holds the clients with a read in progress or one that ended less than
-// a window ago.
-type census struct {
+// clientTracker tracks the clients that have a read in progress or had one that ended
+// less than a window ago.
+type clientTracker struct {
 	window  time.Duration
-	clients map[string]*presence
+	clients map[string]*clientActivity
 	max     int
 }
 
-func newCensus(window time.Duration) *census {
-	return &census{window: window, clients: make(map[string]*presence)}
+func newClientTracker(window time.Duration) *clientTracker {
+	return &clientTracker{window: window, clients: make(map[string]*clientActivity)}
 }
 
-func (c *census) enter(client string, now time.Time) {
+func (c *clientTracker) begin(client string, now time.Time) {
 	seen, ok := c.clients[client]
 	if !ok {
-		seen = &presence{}
+		seen = &clientActivity{}
 		c.clients[client] = seen
 	}
 	seen.active++
@@ -47,13 +48,13 @@
 	c.max = max(c.max, len(c.clients))
 }
 
-func (c *census) leave(client string, now time.Time) {
+func (c *clientTracker) end(client string, now time.Time) {
 	seen := c.clients[client]
 	seen.active--
 	seen.last = now
 }
 
-func (c *census) expire(now time.Time) {
+func (c *clientTracker) expire(now time.Time) {
 	for client, seen := range c.clients {
 		if seen.active == 0 && now.Sub(seen.last) >= c.window {
 			delete(c.clients, client)
@@ -61,57 +62,59 @@
 	}
 }
 
-func (c *census) holds(client string) bool {
+func (c *clientTracker) tracks(client string) bool {
 	_, ok := c.clients[client]
 	return ok
 }
 
-// readerCensus admits readers of the configuration up to a limit. It also counts
-// all who asked, so that a herd shows although it was refused.
-type readerCensus struct {
-	mutex    sync.Mutex
-	limit    int // zero: none
-	admitted *census
-	asking   *census
+// readerLimiter admits readers of the configuration up to a limit. It also counts
+// all clients that asked, so that a thundering herd is visible although it was
+// refused.
+type readerLimiter struct {
+	mutex           sync.Mutex
+	limit           int // zero: none
+	admittedClients *clientTracker
+	askingClients   *clientTracker
 }
 
-func newReaderCensus(limit int, window time.Duration) *readerCensus {
-	return &readerCensus{limit: limit, admitted: newCensus(window), asking: newCensus(window)}
+func newReaderLimiter(limit int, window time.Duration) *readerLimiter {
+	return &readerLimiter{limit: limit, admittedClients: newClientTracker(window), askingClients: newClientTracker(window)}
 }
 
-// enter begins a read and reports whether it is admitted. The caller ends it
-// with leave in both cases.
-func (c *readerCensus) enter(client string, now time.Time) bool {
+// begin starts a read and reports whether it is admitted. The caller calls end in
+// both cases.
+func (c *readerLimiter) begin(client string, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.expire(now)
-	c.asking.enter(client, now)
-	full := c.limit > 0 && len(c.admitted.clients) >= c.limit
-	if full && !c.admitted.holds(client) {
+	c.askingClients.begin(client, now)
+	full := c.limit > 0 && len(c.admittedClients.clients) >= c.limit
+	if full && !c.admittedClients.tracks(client) {
 		return false
 	}
-	c.admitted.enter(client, now)
+	c.admittedClients.begin(client, now)
 	return true
 }
 
-func (c *readerCensus) leave(client string, admitted bool, now time.Time) {
+func (c *readerLimiter) end(client string, admitted bool, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asking.leave(client, now)
+	c.askingClients.end(client, now)
 	if admitted {
-		c.admitted.leave(client, now)
+		c.admittedClients.end(client, now)
 	}
 }
 
-// count returns the readers and the clients that asked, now and at most.
-func (c *readerCensus) count(now time.Time) (readers, readersMax, asking, askingMax int) {
+// count returns the current and the highest number of readers and of clients that
+// asked.
+func (c *readerLimiter) count(now time.Time) (readers, readersMax, asking, askingMax int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.expire(now)
-	return len(c.admitted.clients), c.admitted.max, len(c.asking.clients), c.asking.max
+	return len(c.admittedClients.clients), c.admittedClients.max, len(c.askingClients.clients), c.askingClients.max
 }
 
-func (c *readerCensus) expire(now time.Time) {
-	c.admitted.expire(now)
-	c.asking.expire(now)
+func (c *readerLimiter) expire(now time.Time) {
+	c.admittedClients.expire(now)
+	c.askingClients.expire(now)
 }
--- a/internal/emulator/platform/send.go
+++ b/internal/emulator/platform/send.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// slowPiece is the size in bytes of the pieces of FaultSlow.
-const slowPiece = 16
+// slowChunkBytes is the size of the chunks of FaultSlow.
+const slowChunkBytes = 16
 
 // garbage is the body of FaultGarbage.
 const garbage = "\x00\xff{]this is no JSON"
 
-// send writes a JSON body, whole or as the fault has it.
+// send writes a JSON body, or what the fault makes of it.
 func send(w http.ResponseWriter, r *http.Request, fault Fault, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	if fault.Kind == FaultGarbage {
@@ -25,21 +25,21 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler) // net/http closes the connection before the body's end
 	case FaultSlow:
-		trickle(w, r, fault.Pause, body)
+		sendSlowly(w, r, fault.Pause, body)
 	default:
 		_, _ = w.Write(body)
 	}
 }
 
-// trickle writes the body piece by piece until it is whole or the client goes.
-func trickle(w http.ResponseWriter, r *http.Request, pause time.Duration, body []byte) {
+// sendSlowly writes the body in chunks until it is complete or the client has gone.
+func sendSlowly(w http.ResponseWriter, r *http.Request, pause time.Duration, body []byte) {
 	for len(body) > 0 {
-		piece := min(slowPiece, len(body))
-		if _, err := w.Write(body[:piece]); err != nil {
+		chunk := min(slowChunkBytes, len(body))
+		if _, err := w.Write(body[:chunk]); err != nil {
 			return
 		}
 		_ = http.NewResponseController(w).Flush()
-		body = body[piece:]
+		body = body[chunk:]
 		select {
 		case <-time.After(pause):
 		case <-r.Context().Done():
--- a/internal/emulator/platform/serve.go
+++ b/internal/emulator/platform/serve.go
@@ -12,24 +12,24 @@
 	"github.com/winchhead/winchhead/internal/socketbytes"
 )
 
-// headerTime bounds how long a client may take to send a request's header.
-const headerTime = 10 * time.Second
+// readHeaderTimeout is the time that a client has to send a request's header.
+const readHeaderTimeout = 10 * time.Second
 
-// Serve serves the read side on the listener until the context ends, and then
-// closes the listener and all connections and returns nil. Ending it and serving
-// again on the same address makes an outage that refuses connections.
+// Serve serves the read API on the listener until the context ends, then closes the
+// listener and all connections and returns nil. To emulate an outage in which
+// connections are refused, end the context and call Serve again on the same address.
 func (p *Platform) Serve(ctx context.Context, listener net.Listener) error {
 	counted := socketbytes.Listener{Listener: listener, Counter: &p.bytes}
 	return serve(ctx, counted, p.Handler())
 }
 
-// ServeOperators serves the operators' write side likewise.
+// ServeOperators serves the operators' write API in the same way.
 func (p *Platform) ServeOperators(ctx context.Context, listener net.Listener) error {
 	return serve(ctx, listener, p.OperatorHandler())
 }
 
 func serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	err := server.Serve(listener)
--- a/internal/emulator/platform/write.go
+++ b/internal/emulator/platform/write.go
@@ -10,48 +10,49 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// maxWriteBytes bounds the body of one write.
+// maxWriteBytes is the maximum size of a request body.
 const maxWriteBytes = 8 << 20
 
-// OperatorHandler returns the operators' write side. Each change answers with
-// the version it made:
+// OperatorHandler returns the operators' write API. Each change is answered with
+// the version that it published:
 //
-//	POST   /v1/policies         {"name","program"}  submits, or revises the one of that name
-//	DELETE /v1/policies/{name}                      withdraws
+//	POST   /v1/policies         {"name","program"}  submits or revises a policy
+//	DELETE /v1/policies/{name}                      withdraws a policy
 //	PUT    /v1/services/{name}  {"slots","connections"}
 //	DELETE /v1/services/{name}
 //	PUT    /v1/secrets/{name}   {"value"}
 //	DELETE /v1/secrets/{name}
 //	PUT    /v1/content          the whole configuration; its revision is ignored
 //
-// 404 tells that there is nothing of that name, 400 that the body is not valid.
+// 404 means that no resource has the name, 400 that the body or its content is not
+// valid.
 func (p *Platform) OperatorHandler() http.Handler {
 	router := chi.NewRouter()
-	router.Post("/v1/policies", change(func(_ string, policy snapshot.Policy) (snapshot.Version, error) {
+	router.Post("/v1/policies", handleChange(func(_ string, policy snapshot.Policy) (snapshot.Version, error) {
 		return p.Change(func(content *snapshot.Content) error {
-			put(&content.Policies, policyName, policy)
+			upsert(&content.Policies, policyName, policy)
 			return nil
 		})
 	}))
-	router.Put("/v1/services/{name}", change(func(name string, service snapshot.Service) (snapshot.Version, error) {
+	router.Put("/v1/services/{name}", handleChange(func(name string, service snapshot.Service) (snapshot.Version, error) {
 		service.Name = name
 		return p.PutService(service)
 	}))
-	router.Put("/v1/secrets/{name}", change(func(name string, secret snapshot.Secret) (snapshot.Version, error) {
+	router.Put("/v1/secrets/{name}", handleChange(func(name string, secret snapshot.Secret) (snapshot.Version, error) {
 		secret.Name = name
 		return p.PutSecret(secret)
 	}))
-	router.Put("/v1/content", change(func(_ string, content snapshot.Content) (snapshot.Version, error) {
+	router.Put("/v1/content", handleChange(func(_ string, content snapshot.Content) (snapshot.Version, error) {
 		return p.SetContent(content)
 	}))
-	router.Delete("/v1/policies/{name}", withdrawal(p.Withdraw))
-	router.Delete("/v1/services/{name}", withdrawal(p.DeleteService))
-	router.Delete("/v1/secrets/{name}", withdrawal(p.DeleteSecret))
+	router.Delete("/v1/policies/{name}", handleDelete(p.Withdraw))
+	router.Delete("/v1/services/{name}", handleDelete(p.DeleteService))
+	router.Delete("/v1/secrets/{name}", handleDelete(p.DeleteSecret))
 	return router
 }
 
-// change handles a request that carries a resource.
-func change[T any](apply func(name string, resource T) (snapshot.Version, error)) http.HandlerFunc {
+// handleChange returns a handler for requests with a resource in the body.
+func handleChange[T any](apply func(name string, resource T) (snapshot.Version, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var resource T
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxWriteBytes))
@@ -61,21 +62,21 @@
 			return
 		}
 		version, err := apply(chi.URLParam(r, "name"), resource)
-		reply(w, version, err)
+		writeResult(w, version, err)
 	}
 }
 
-// withdrawal handles a request that removes a resource.
-func withdrawal(apply func(name string) (snapshot.Version, error)) http.HandlerFunc {
+// handleDelete returns a handler for requests that delete a resource.
+func handleDelete(apply func(name string) (snapshot.Version, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		version, err := apply(chi.URLParam(r, "name"))
-		reply(w, version, err)
+		writeResult(w, version, err)
 	}
 }
 
-func reply(w http.ResponseWriter, version snapshot.Version, err error) {
+func writeResult(w http.ResponseWriter, version snapshot.Version, err error) {
 	switch {
-	case errors.Is(err, ErrAbsent):
+	case errors.Is(err, ErrNotFound):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
