--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -1,8 +1,8 @@
-// Package backend emulates a back end of a service: slots, connections, cold
-// start, drain, shedding, health and load endpoints that lag or lie, faults, and
-// a journal of what ran. It stands in for the platform in tests and benches and
-// is driven by its Go API or by a small HTTP control API. Product packages never
-// import it.
+// Package backend emulates a backend of a service: slots, connections, cold start,
+// drain, load shedding, health and load endpoints that lag or report false values,
+// faults, and a journal of the executed requests. It is controlled through its Go
+// API or an HTTP control API. Only tests and benchmarks use it; product packages
+// never import it.
 package backend
 
 import (
@@ -18,78 +18,82 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// Options sets one back end.
+// Options configures a Backend.
 type Options struct {
-	// Name is the instance name on answers (HeaderInstance).
+	// Name is the name of the instance, sent in HeaderInstance.
 	Name string
-	// Slots is how many requests may run at once; zero: not counted as violation.
+	// Slots is how many requests may run at once; more count as violations. Zero:
+	// unlimited.
 	Slots int
-	// Connections is how many connections may be open; zero: unbounded.
+	// Connections is how many connections may be open; further ones are closed and
+	// count as violations. Zero: unlimited.
 	Connections int
-	// ColdRefuse is how long after Start no connection is accepted.
+	// ColdRefuse is how long StartCold waits before it accepts connections.
 	ColdRefuse time.Duration
-	// ColdSlow is how long after that work takes ColdFactor times as long and
-	// the health endpoint says "starting".
+	// ColdSlow is how long after the start the work takes ColdFactor times as long
+	// and the health endpoint reports "starting".
 	ColdSlow   time.Duration
 	ColdFactor float64
-	// Outbound is the IP:port of the outbound proxy used for onward calls.
+	// Outbound is the IP:port of the outbound proxy through which /call makes its
+	// calls.
 	Outbound string
-	// Behavior is how the back end starts; Configure changes it later.
+	// Behavior is the initial behavior; Configure replaces it.
 	Behavior Behavior
 }
 
-// Backend is one emulated instance. Its methods may be called from any goroutine.
+// Backend is an emulated instance. It is safe for concurrent use.
 type Backend struct {
-	options   Options
-	journal   *Journal
-	counters  counters
-	behavior  atomic.Pointer[Behavior]
-	faults    faultBudget
-	draining  atomic.Int64 // Unix nanoseconds since when; zero: not draining
-	loads     loadHistory
-	onward    *http.Client
-	handler   http.Handler
-	lifecycle sync.Mutex
-	server    *http.Server
-	listener  *countingListener
-	startedAt atomic.Int64 // Unix nanoseconds of the end of ColdRefuse
-	serving   sync.WaitGroup
+	options        Options
+	journal        *Journal
+	counters       counters
+	behavior       atomic.Pointer[Behavior]
+	faults         pendingFaults
+	draining       atomic.Int64 // start of the drain in Unix nanoseconds; zero: not draining
+	loads          loadHistory
+	outboundClient *http.Client
+	handler        http.Handler
+	lifecycle      sync.Mutex
+	server         *http.Server
+	listener       *countingListener
+	startedAt      atomic.Int64 // Unix nanoseconds; zero: never started
+	serving        sync.WaitGroup
 }
 
-// New returns a back end that is not listening yet.
+// New returns a backend that does not listen yet.
 func New(options Options) *Backend {
 	b := &Backend{
-		options: options,
-		journal: newJournal(),
-		onward:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: onwardIdleConnections}},
+		options:        options,
+		journal:        newJournal(),
+		outboundClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleOutboundConnections}},
 	}
 	b.Configure(options.Behavior)
 	b.handler = b.routes()
 	return b
 }
 
-// onwardIdleConnections bounds the idle connections kept to the outbound proxy.
-const onwardIdleConnections = 256
+// maxIdleOutboundConnections is the number of idle connections kept to the outbound
+// proxy.
+const maxIdleOutboundConnections = 256
 
-// Handler returns the endpoints for callers, for use without Start.
+// Handler returns the handler of the callers' endpoints, for use without Start.
 func (b *Backend) Handler() http.Handler { return b.handler }
 
-// Journal returns the record of what ran.
+// Journal returns the journal of the executed requests.
 func (b *Backend) Journal() *Journal { return b.journal }
 
-// Start listens on address (IP:port, port 0 for any) and serves until Close or
-// Kill. It may be called again after Close or Kill, with the former Address.
+// Start listens on address (IP:port, port 0 for any port) and serves until Close or
+// Kill. After those it may be called again, also with the same address.
 func (b *Backend) Start(address string) error {
 	b.lifecycle.Lock()
 	defer b.lifecycle.Unlock()
 	if b.server != nil {
-		return eris.New("back end already started")
+		return eris.New("the backend is already started")
 	}
 	return b.listen(address)
 }
 
-// StartCold waits for ColdRefuse, during which connections to address are
-// refused, and then starts as Start does. address needs a port.
+// StartCold waits for ColdRefuse, during which connections to address are refused, and
+// then calls Start. The port of address must not be 0.
 func (b *Backend) StartCold(ctx context.Context, address string) error {
 	if err := wait.For(ctx, b.options.ColdRefuse); err != nil {
 		return err
@@ -100,7 +104,7 @@
 func (b *Backend) listen(address string) error {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
-		return eris.Wrapf(err, "back end %s: listen", b.options.Name)
+		return eris.Wrapf(err, "backend %s: listen", b.options.Name)
 	}
 	b.startedAt.Store(time.Now().UnixNano())
 	listener := newCountingListener(inner, b.options.Connections, &b.counters)
@@ -109,15 +113,15 @@
 	b.serving.Add(1)
 	go func() {
 		defer b.serving.Done()
-		_ = server.Serve(listener) // ends with ErrServerClosed at Close or Kill
+		_ = server.Serve(listener) // returns ErrServerClosed on Close or Kill
 	}()
 	return nil
 }
 
-// readHeaderTimeout bounds how long a client may take to send a header.
+// readHeaderTimeout is the time that a client has to send a request's header.
 const readHeaderTimeout = 30 * time.Second
 
-// Address returns the IP:port that is listened on, or "" when not started.
+// Address returns the IP:port of the latest listener, or "" if there was none.
 func (b *Backend) Address() string {
 	b.lifecycle.Lock()
 	defer b.lifecycle.Unlock()
@@ -129,7 +133,7 @@
 
 // Close stops listening and waits for the requests in progress until ctx ends.
 func (b *Backend) Close(ctx context.Context) error {
-	server := b.detach()
+	server := b.detachServer()
 	if server == nil {
 		return nil
 	}
@@ -138,17 +142,17 @@
 		_ = server.Close()
 	}
 	b.serving.Wait()
-	b.onward.CloseIdleConnections()
+	b.outboundClient.CloseIdleConnections()
 	return err
 }
 
-// Kill ends as a process that dies: the port is closed and every connection is
-// reset at once.
+// Kill ends the backend like a process that dies: it closes the port and resets every
+// connection at once.
 func (b *Backend) Kill() {
 	b.lifecycle.Lock()
 	listener := b.listener
 	b.lifecycle.Unlock()
-	server := b.detach()
+	server := b.detachServer()
 	if server == nil {
 		return
 	}
@@ -156,10 +160,10 @@
 	listener.resetAll()
 	_ = server.Close()
 	b.serving.Wait()
-	b.onward.CloseIdleConnections()
+	b.outboundClient.CloseIdleConnections()
 }
 
-func (b *Backend) detach() *http.Server {
+func (b *Backend) detachServer() *http.Server {
 	b.lifecycle.Lock()
 	defer b.lifecycle.Unlock()
 	server := b.server
@@ -167,8 +171,8 @@
 	return server
 }
 
-// cold reports whether the slow phase after a start still lasts.
-func (b *Backend) cold() bool {
+// isCold reports whether the backend is within ColdSlow of its start.
+func (b *Backend) isCold() bool {
 	started := b.startedAt.Load()
 	return started != 0 && time.Since(time.Unix(0, started)) < b.options.ColdSlow
 }
--- a/internal/emulator/backend/backend_test.go
+++ b/internal/emulator/backend/backend_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start returns a listening back end and a client that never reuses connections.
+// start returns a listening backend and a client that does not reuse connections.
 func start(c *qt.C, options backend.Options) (*backend.Backend, *http.Client) {
 	b := backend.New(options)
 	c.Assert(b.Start("127.0.0.1:0"), qt.IsNil)
@@ -42,25 +42,25 @@
 	return r
 }
 
-func TestFaultsAndTheJournal(t *testing.T) {
+func TestJournalCountsPerFault(t *testing.T) {
 	finished := backend.Runs{Started: 1, Finished: 1}
 	for _, test := range []struct {
 		name     string
 		header   []string
-		status   int // zero: no whole answer
+		status   int // zero: the answer is missing or incomplete
 		expected backend.Runs
 	}{
-		{"whole answer", nil, 200, finished},
-		{"chosen status", []string{backend.HeaderStatus, "418"}, 418, finished},
+		{"complete answer", nil, 200, finished},
+		{"requested status", []string{backend.HeaderStatus, "418"}, 418, finished},
 		{"reset before read", []string{backend.HeaderFault, string(backend.FaultResetBeforeRead)}, 0, backend.Runs{}},
 		{"reset after read", []string{backend.HeaderFault, string(backend.FaultResetAfterRead)}, 0, finished},
 		{"reset in the answer", []string{backend.HeaderFault, string(backend.FaultResetMidAnswer)}, 0, finished},
-		{"closed in the answer", []string{backend.HeaderFault, string(backend.FaultCloseMidAnswer)}, 0, finished},
+		{"close in the answer", []string{backend.HeaderFault, string(backend.FaultCloseMidAnswer)}, 0, finished},
 		{"wrong length", []string{backend.HeaderFault, string(backend.FaultWrongLength)}, 0, finished},
-		{"time over on arrival", []string{outcome.HeaderTimeout, "0"}, 504, backend.Runs{}},
-		{"time over in the work", []string{outcome.HeaderTimeout, "1", backend.HeaderWork, "60000"}, 504,
+		{"expired on arrival", []string{outcome.HeaderTimeout, "0"}, 504, backend.Runs{}},
+		{"expired during the work", []string{outcome.HeaderTimeout, "1", backend.HeaderWork, "60000"}, 504,
 			backend.Runs{Started: 1, Expired: 1}},
-		{"stalled until the caller goes", []string{outcome.HeaderTimeout, "1",
+		{"stalled until the caller disconnects", []string{outcome.HeaderTimeout, "1",
 			backend.HeaderFault, string(backend.FaultStall)}, 0, backend.Runs{Started: 1, Cancelled: 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -108,8 +108,8 @@
 	c.Check(b.Statistics().Shed, qt.Equals, int64(1))
 }
 
-// streamOpen asks for a body whose end never comes and waits for its header.
-func streamOpen(c *qt.C, ctx context.Context, b *backend.Backend, client *http.Client, path string) *http.Response {
+// openStream requests a body that does not end and waits for the header.
+func openStream(c *qt.C, ctx context.Context, b *backend.Backend, client *http.Client, path string) *http.Response {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.Address()+path, nil)
 	c.Assert(err, qt.IsNil)
 	response, err := client.Do(r)
@@ -117,7 +117,7 @@
 	return response
 }
 
-func TestLimitsAreCounted(t *testing.T) {
+func TestLimitViolationsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	b, client := start(c, backend.Options{Slots: 1, Connections: 2})
 	ctx, cancel := context.WithCancel(c.Context())
@@ -133,7 +133,7 @@
 			}
 		}()
 	}
-	// The two counts of one event are read one after the other: wait for both.
+	// InFlightMax rises before SlotViolations, so wait for both.
 	eventually(c, func() bool { return b.Statistics().InFlightMax == 2 && b.Statistics().SlotViolations == 1 })
 	third, err := net.Dial("tcp", b.Address())
 	c.Assert(err, qt.IsNil)
@@ -150,11 +150,11 @@
 	c.Check(b.Statistics().SlotViolations, qt.Equals, int64(1))
 }
 
-func TestEventsHoldNoSlot(t *testing.T) {
+func TestEventStreamHoldsNoSlot(t *testing.T) {
 	c := qt.New(t)
 	b, client := start(c, backend.Options{Slots: 1})
 	ctx, cancel := context.WithCancel(c.Context())
-	response := streamOpen(c, ctx, b, client, backend.PathEvents+"?interval-ms=600000")
+	response := openStream(c, ctx, b, client, backend.PathEvents+"?interval-ms=600000")
 	defer response.Body.Close()
 	c.Check(b.Statistics().InFlightNow, qt.Equals, int64(0))
 	c.Check(b.Statistics().SessionsNow, qt.Equals, int64(1))
@@ -183,8 +183,8 @@
 	eventually(c, func() bool { return b.Statistics().SessionsNow == 0 })
 }
 
-func TestReportsLagAndLie(t *testing.T) {
-	lie := 0.5
+func TestHealthAndLoadReports(t *testing.T) {
+	falseLoad := 0.5
 	for _, test := range []struct {
 		name     string
 		drain    bool
@@ -192,12 +192,12 @@
 		status   report.Status
 		load     report.Load
 	}{
-		{"honest", false, backend.Behavior{}, report.StatusReady, report.Load{Slots: 4}},
+		{"correct", false, backend.Behavior{}, report.StatusReady, report.Load{Slots: 4}},
 		{"draining", true, backend.Behavior{}, report.StatusDraining, report.Load{Slots: 4}},
-		{"draining, late", true, backend.Behavior{HealthLag: 600_000}, report.StatusReady, report.Load{Slots: 4}},
-		{"lie: failing", false, backend.Behavior{Health: backend.HealthFailing}, report.StatusFailing, report.Load{Slots: 4}},
-		{"lie: ready", true, backend.Behavior{Health: backend.HealthReady}, report.StatusReady, report.Load{Slots: 4}},
-		{"lie: loaded", false, backend.Behavior{LoadLie: &lie}, report.StatusReady, report.Load{Slots: 4, InFlight: 2}},
+		{"draining, delayed report", true, backend.Behavior{HealthLag: 600_000}, report.StatusReady, report.Load{Slots: 4}},
+		{"false status failing", false, backend.Behavior{Health: backend.HealthFailing}, report.StatusFailing, report.Load{Slots: 4}},
+		{"false status ready", true, backend.Behavior{Health: backend.HealthReady}, report.StatusReady, report.Load{Slots: 4}},
+		{"false load", false, backend.Behavior{LoadLie: &falseLoad}, report.StatusReady, report.Load{Slots: 4, InFlight: 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestControlDrivesTheBackEnd(t *testing.T) {
+func TestControlAPI(t *testing.T) {
 	c := qt.New(t)
 	b := backend.New(backend.Options{})
 	control := b.ControlHandler()
@@ -235,7 +235,7 @@
 	c.Check(health.Status, qt.Equals, report.StatusDraining)
 }
 
-func TestCallsOnwardPassTheTimeOn(t *testing.T) {
+func TestChainedCallPassesRemainingTime(t *testing.T) {
 	c := qt.New(t)
 	last, client := start(c, backend.Options{Name: "last"})
 	var remaining string
@@ -256,11 +256,11 @@
 	c.Check(last.Journal().Total().Finished, qt.Equals, 1)
 }
 
-func TestKillResetsAndTheAddressCanBeUsedAgain(t *testing.T) {
+func TestRestartOnSameAddressAfterKill(t *testing.T) {
 	c := qt.New(t)
 	b, client := start(c, backend.Options{})
 	address := b.Address()
-	response := streamOpen(c, c.Context(), b, client, backend.PathEvents+"?interval-ms=600000")
+	response := openStream(c, c.Context(), b, client, backend.PathEvents+"?interval-ms=600000")
 	defer response.Body.Close()
 	b.Kill()
 	_, err := io.ReadAll(response.Body)
@@ -277,12 +277,12 @@
 	c.Assert(json.Unmarshal(recorder.Body.Bytes(), target), qt.IsNil)
 }
 
-// eventually waits for a state of another goroutine that has no event of its own.
+// eventually polls until a condition that other goroutines bring about holds.
 func eventually(c *qt.C, reached func() bool) {
 	c.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !reached(); {
 		if time.Now().After(deadline) {
-			c.Fatal("state not reached")
+			c.Fatal("the condition did not hold in time")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/emulator/backend/connections.go
+++ b/internal/emulator/backend/connections.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// countingListener counts open connections and closes those above a bound.
+// countingListener counts the open connections and closes new ones above a limit.
 type countingListener struct {
 	net.Listener
-	limit    int // zero: unbounded
+	limit    int // zero: unlimited
 	counters *counters
 	mu       sync.Mutex
 	open     map[*countedConn]struct{}
@@ -23,7 +23,7 @@
 	}
 }
 
-// Accept returns the next connection within the bound.
+// Accept returns the next connection within the limit.
 func (l *countingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -63,8 +63,8 @@
 	}
 }
 
-// countedConn leaves its listener's count when it is closed. The count falls
-// before the peer can see the close, so it never exceeds what a peer counts.
+// countedConn is removed from its listener's count when it is closed. The count falls
+// before the peer can see the close, so it never exceeds the peer's own count.
 type countedConn struct {
 	net.Conn
 	listener *countingListener
@@ -73,11 +73,11 @@
 
 // Close closes the connection.
 func (c *countedConn) Close() error {
-	c.once.Do(c.leave)
+	c.once.Do(c.uncount)
 	return c.Conn.Close()
 }
 
-// CloseWrite ends the sending side only.
+// CloseWrite closes the sending side only, if the connection supports that.
 func (c *countedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -93,7 +93,7 @@
 	_ = c.Close()
 }
 
-func (c *countedConn) leave() {
+func (c *countedConn) uncount() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	delete(c.listener.open, c)
--- a/internal/emulator/backend/control.go
+++ b/internal/emulator/backend/control.go
@@ -7,7 +7,8 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Paths of the control API, served apart from the callers' endpoints.
+// Paths of the control API, which ControlHandler serves apart from the callers'
+// endpoints.
 const (
 	PathBehavior   = "/control/behavior"   // GET, PUT Behavior
 	PathStatistics = "/control/statistics" // GET Statistics
@@ -15,8 +16,8 @@
 	PathDrain      = "/control/drain"      // PUT, DELETE
 )
 
-// ControlHandler returns the control API. It stays answerable while the back end
-// stalls or is killed.
+// ControlHandler returns the control API. It also answers while the backend stalls or
+// is killed.
 func (b *Backend) ControlHandler() http.Handler {
 	router := chi.NewRouter()
 	router.Get(PathBehavior, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/emulator/backend/journal.go
+++ b/internal/emulator/backend/journal.go
@@ -8,32 +8,32 @@
 
 // Runs counts the executions of one request number or idempotency key.
 type Runs struct {
-	// Started counts executions that began; a shed request never begins.
+	// Started counts executions that began; a shed request does not begin.
 	Started int `json:"started"`
-	// Finished counts executions whose work was done, whether or not the
-	// answer arrived.
+	// Finished counts executions whose work was completed, whether or not the
+	// answer reached the caller.
 	Finished int `json:"finished"`
-	// Cancelled counts executions that stopped because the caller went away.
+	// Cancelled counts executions that ended early because the caller disconnected.
 	Cancelled int `json:"cancelled"`
-	// Expired counts executions that stopped because their time was over.
+	// Expired counts executions that ended early because their deadline passed.
 	Expired int `json:"expired"`
 }
 
-// JournalRecord is the whole journal in a form that can be sent.
+// JournalRecord is a copy of the journal that can be encoded as JSON.
 type JournalRecord struct {
 	Total    Runs            `json:"total"`
 	Requests map[string]Runs `json:"requests"`
 	Keys     map[string]Runs `json:"keys"`
 }
 
-// Journal records each execution by request number and by idempotency key. Its
-// counts are exact and its methods may be called from any goroutine.
+// Journal counts executions by request number and by idempotency key. The counts
+// are exact. It is safe for concurrent use.
 type Journal struct {
 	mu       sync.Mutex
 	total    Runs
 	requests map[string]*Runs
 	keys     map[string]*Runs
-	// changed is closed at the next change; nil while nobody waits for one.
+	// changed is closed at the next change; nil while no goroutine waits for one.
 	changed chan struct{}
 }
 
@@ -41,18 +41,19 @@
 	return &Journal{requests: map[string]*Runs{}, keys: map[string]*Runs{}}
 }
 
-// execution names one run in the journal.
-type execution struct{ request, key string }
+// executionID holds the request number and the idempotency key of an execution, either
+// of which may be empty.
+type executionID struct{ request, key string }
 
-func (j *Journal) update(run execution, change func(*Runs)) {
+func (j *Journal) update(run executionID, change func(*Runs)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	change(&j.total)
 	if run.request != "" {
-		change(entry(j.requests, run.request))
+		change(runsOf(j.requests, run.request))
 	}
 	if run.key != "" {
-		change(entry(j.keys, run.key))
+		change(runsOf(j.keys, run.key))
 	}
 	if j.changed != nil {
 		close(j.changed)
@@ -60,11 +61,11 @@
 	}
 }
 
-// AwaitStarted returns once at least count executions began, or when ctx ends
-// with its error.
+// AwaitStarted waits until at least count executions have begun. It returns the error
+// of ctx if ctx ends first.
 func (j *Journal) AwaitStarted(ctx context.Context, count int) error {
 	for {
-		started, changed := j.startedOrChange()
+		started, changed := j.startedCount()
 		if started >= count {
 			return nil
 		}
@@ -76,9 +77,9 @@
 	}
 }
 
-// startedOrChange returns how many executions began, and a channel that is closed
-// at the next change.
-func (j *Journal) startedOrChange() (started int, changed <-chan struct{}) {
+// startedCount returns the number of executions that have begun, and a channel that is
+// closed at the next change.
+func (j *Journal) startedCount() (started int, changed <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.changed == nil {
@@ -87,19 +88,19 @@
 	return j.total.Started, j.changed
 }
 
-func entry(table map[string]*Runs, name string) *Runs {
-	runs, ok := table[name]
+func runsOf(runsByName map[string]*Runs, name string) *Runs {
+	runs, ok := runsByName[name]
 	if !ok {
 		runs = &Runs{}
-		table[name] = runs
+		runsByName[name] = runs
 	}
 	return runs
 }
 
-func (j *Journal) started(run execution)   { j.update(run, func(r *Runs) { r.Started++ }) }
-func (j *Journal) finished(run execution)  { j.update(run, func(r *Runs) { r.Finished++ }) }
-func (j *Journal) cancelled(run execution) { j.update(run, func(r *Runs) { r.Cancelled++ }) }
-func (j *Journal) expired(run execution)   { j.update(run, func(r *Runs) { r.Expired++ }) }
+func (j *Journal) started(run executionID)   { j.update(run, func(r *Runs) { r.Started++ }) }
+func (j *Journal) finished(run executionID)  { j.update(run, func(r *Runs) { r.Finished++ }) }
+func (j *Journal) cancelled(run executionID) { j.update(run, func(r *Runs) { r.Cancelled++ }) }
+func (j *Journal) expired(run executionID)   { j.update(run, func(r *Runs) { r.Expired++ }) }
 
 // Total returns the counts over all executions.
 func (j *Journal) Total() Runs {
@@ -128,7 +129,8 @@
 	return Runs{}
 }
 
-// Doubled returns, sorted, the request numbers that began more than once.
+// Doubled returns, sorted, the numbers of the requests that were started more than
+// once.
 func (j *Journal) Doubled() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -149,15 +151,15 @@
 	return JournalRecord{Total: j.total, Requests: copyRuns(j.requests), Keys: copyRuns(j.keys)}
 }
 
-func copyRuns(table map[string]*Runs) map[string]Runs {
-	copied := make(map[string]Runs, len(table))
-	for name, runs := range table {
+func copyRuns(runsByName map[string]*Runs) map[string]Runs {
+	copied := make(map[string]Runs, len(runsByName))
+	for name, runs := range runsByName {
 		copied[name] = *runs
 	}
 	return copied
 }
 
-// Reset forgets everything.
+// Reset clears the journal.
 func (j *Journal) Reset() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/emulator/backend/reports.go
+++ b/internal/emulator/backend/reports.go
@@ -10,10 +10,11 @@
 	"github.com/winchhead/winchhead/internal/proxy/report"
 )
 
-// loadHistorySize bounds the changes of the load that are remembered.
+// loadHistorySize is the number of load changes that are kept.
 const loadHistorySize = 4096
 
-// loadHistory remembers the load of the last moments, for reports that lag.
+// loadHistory keeps the latest changes of the load in a ring buffer, for load reports
+// that lag.
 type loadHistory struct {
 	mu      sync.Mutex
 	samples []loadSample
@@ -37,7 +38,7 @@
 	h.next = (h.next + 1) % loadHistorySize
 }
 
-// at returns the load at a moment: the latest change not after it.
+// at returns the load at the given time: that of the latest change not after it.
 func (h *loadHistory) at(moment time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -50,7 +51,7 @@
 	return latest.inFlight
 }
 
-// statusAt returns the true status at a moment.
+// statusAt returns the true status at the given time.
 func (b *Backend) statusAt(moment time.Time) report.Status {
 	if since := b.draining.Load(); since != 0 && moment.UnixNano() >= since {
 		return report.StatusDraining
@@ -71,7 +72,7 @@
 	switch behavior.Health {
 	case HealthStall:
 		<-r.Context().Done()
-		panic(http.ErrAbortHandler) // the documented way to end without an answer
+		panic(http.ErrAbortHandler) // closes the connection without an answer
 	case HealthReady, HealthFailing, HealthDraining:
 		status = report.Status(behavior.Health)
 	}
@@ -96,5 +97,5 @@
 func writeJSON(w http.ResponseWriter, code int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(value) // a failure means that the client left
+	_ = json.NewEncoder(w).Encode(value) // fails only when the client has gone
 }
--- a/internal/emulator/backend/sessions.go
+++ b/internal/emulator/backend/sessions.go
@@ -23,8 +23,8 @@
 	defaultChunkBytes    = 16 << 10
 )
 
-// serveEvents sends numbered events. It holds its slot only until the header is
-// sent; then it is a session.
+// serveEvents sends numbered server-sent events. The request releases its slot before
+// the header is sent and counts as a session until it ends.
 func (j *job) serveEvents(w http.ResponseWriter, r *http.Request) {
 	if !j.work(w, r) {
 		return
@@ -32,52 +32,52 @@
 	j.backend.counters.sessions.add(1)
 	defer j.backend.counters.sessions.add(-1)
 	w.Header().Set("Content-Type", "text/event-stream")
-	j.release()
+	j.releaseSlot()
 	flusher := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
 	_ = flusher.Flush()
 	interval := queryMillis(r, "interval-ms")
 	for number := range queryInt(r, "count", defaultEvents) {
 		if wait.For(j.ctx, interval) != nil {
-			j.breakOff()
+			j.abort()
 		}
 		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", number, Checksum([]byte(strconv.Itoa(number))))
 		_ = flusher.Flush()
 	}
-	j.backend.journal.finished(j.run)
+	j.backend.journal.finished(j.execution)
 }
 
-// serveDownload streams a Pattern in chunks and holds its slot to the end.
+// serveDownload streams a Pattern in chunks and holds its slot until the last one.
 func (j *job) serveDownload(w http.ResponseWriter, r *http.Request) {
 	if !j.work(w, r) {
 		return
 	}
-	body := Pattern(j.run.request, queryInt(r, "bytes", defaultDownloadBytes))
-	chunk := max(queryInt(r, "chunk", defaultChunkBytes), 1)
+	body := Pattern(j.execution.request, queryInt(r, "bytes", defaultDownloadBytes))
+	chunkSize := max(queryInt(r, "chunk", defaultChunkBytes), 1)
 	interval := queryMillis(r, "interval-ms")
 	w.Header().Set(HeaderChecksum, Checksum(body))
-	w.Header().Set(HeaderRequest, j.run.request)
+	w.Header().Set(HeaderRequest, j.execution.request)
 	for len(body) > 0 {
-		piece := body[:min(chunk, len(body))]
-		body = body[len(piece):]
-		if !j.sendPiece(w, piece, interval, len(body) == 0) {
+		chunk := body[:min(chunkSize, len(body))]
+		body = body[len(chunk):]
+		if !j.sendChunk(w, chunk, interval, len(body) == 0) {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-func (j *job) sendPiece(w http.ResponseWriter, piece []byte, interval time.Duration, last bool) bool {
+func (j *job) sendChunk(w http.ResponseWriter, chunk []byte, interval time.Duration, last bool) bool {
 	if wait.For(j.ctx, interval) != nil {
-		j.stopped()
+		j.recordInterrupted()
 		return false
 	}
 	if last {
-		j.backend.journal.finished(j.run)
-		j.release()
+		j.backend.journal.finished(j.execution)
+		j.releaseSlot()
 	}
-	if _, err := w.Write(piece); err != nil {
+	if _, err := w.Write(chunk); err != nil {
 		if !last {
-			j.stopped()
+			j.recordInterrupted()
 		}
 		return false
 	}
@@ -85,8 +85,8 @@
 	return true
 }
 
-// onlyUpgrades refuses requests that do not ask for UpgradeProtocol.
-func onlyUpgrades(serve http.HandlerFunc) http.HandlerFunc {
+// requireUpgrade answers 426 to requests that do not ask for UpgradeProtocol.
+func requireUpgrade(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !strings.EqualFold(r.Header.Get("Upgrade"), UpgradeProtocol) {
 			http.Error(w, "want Upgrade: "+UpgradeProtocol, http.StatusUpgradeRequired)
@@ -96,8 +96,8 @@
 	}
 }
 
-// serveUpgrade switches to UpgradeProtocol and sends back what it receives until
-// the client ends its side.
+// serveUpgrade switches to UpgradeProtocol and echoes what it receives until either
+// side ends the stream.
 func (j *job) serveUpgrade(w http.ResponseWriter, r *http.Request) {
 	if !j.work(w, r) {
 		return
@@ -110,17 +110,17 @@
 	defer conn.Close()
 	j.backend.counters.sessions.add(1)
 	defer j.backend.counters.sessions.add(-1)
-	j.release()
-	echoUntilEnd(conn, buffered)
-	j.backend.journal.finished(j.run)
+	j.releaseSlot()
+	echoUntilClosed(conn, buffered)
+	j.backend.journal.finished(j.execution)
 }
 
-func echoUntilEnd(conn net.Conn, buffered *bufio.ReadWriter) {
+func echoUntilClosed(conn net.Conn, buffered *bufio.ReadWriter) {
 	header := "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + UpgradeProtocol + "\r\n\r\n"
 	if _, err := io.WriteString(conn, header); err != nil {
 		return
 	}
-	_, _ = io.Copy(conn, buffered) // ends when either side does
+	_, _ = io.Copy(conn, buffered) // returns when either side ends the stream
 }
 
 func queryInt(r *http.Request, name string, fallback int) int {
--- a/internal/emulator/backend/statistics.go
+++ b/internal/emulator/backend/statistics.go
@@ -2,7 +2,8 @@
 
 import "sync/atomic"
 
-// Statistics is what the back end counted since it was made. Gauges end in Now.
+// Statistics holds the counts since New. Fields that end in Now are gauges, those that
+// end in Max the highest value of a gauge.
 type Statistics struct {
 	InFlightNow          int64 `json:"in_flight_now"`
 	InFlightMax          int64 `json:"in_flight_max"`
@@ -16,7 +17,7 @@
 	TakenWhileDraining   int64 `json:"taken_while_draining"`
 }
 
-// gauge is a number with its highest value.
+// gauge holds a current value and the highest value so far.
 type gauge struct{ now, highest atomic.Int64 }
 
 func (g *gauge) add(delta int64) int64 {
@@ -40,7 +41,7 @@
 	takenWhileDraining   atomic.Int64
 }
 
-// Statistics returns the counts now.
+// Statistics returns the current counts.
 func (b *Backend) Statistics() Statistics {
 	c := &b.counters
 	return Statistics{
--- a/internal/emulator/backend/work.go
+++ b/internal/emulator/backend/work.go
@@ -12,44 +12,45 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// Headers of a request that steer one answer, and headers of an answer.
+// Request headers that control the answer, and response headers.
 const (
-	// HeaderRequest is the request's number: any text, unique in a run. It is
-	// given back on the answer.
+	// HeaderRequest is the request's number: any text that is unique within a test
+	// run. The answer carries it too.
 	HeaderRequest = "X-Emulator-Request"
-	// HeaderWork is the time of the work in milliseconds.
+	// HeaderWork is the duration of the work in milliseconds.
 	HeaderWork = "X-Emulator-Work-Ms"
-	// HeaderFault is the Fault to cause.
+	// HeaderFault is the Fault that the request causes.
 	HeaderFault = "X-Emulator-Fault"
-	// HeaderStatus is the status of the answer of /echo.
+	// HeaderStatus is the status code of the answer.
 	HeaderStatus = "X-Emulator-Status"
-	// HeaderAnswerBytes asks /echo for a body of Pattern bytes instead of the
-	// request's own.
+	// HeaderAnswerBytes asks /echo for a Pattern of this size instead of the
+	// request's body.
 	HeaderAnswerBytes = "X-Emulator-Answer-Bytes"
-	// HeaderChain lists the calls onward still to make, for /call.
+	// HeaderChain lists the calls that /call has yet to make, separated by commas.
 	HeaderChain = "X-Emulator-Chain"
-	// HeaderInstance is on answers: the name of the instance.
+	// HeaderInstance is a response header: the name of the instance.
 	HeaderInstance = "X-Emulator-Instance"
-	// HeaderChecksum is on answers: Checksum of the whole body.
+	// HeaderChecksum is a response header: the Checksum of the whole body.
 	HeaderChecksum = "X-Emulator-Checksum"
 )
 
-// job is one request that holds a slot and is in the journal.
+// job is a request that holds a slot and is recorded in the journal.
 type job struct {
-	backend  *Backend
-	run      execution
-	fault    Fault
-	ctx      context.Context
-	cancel   context.CancelFunc
-	released bool
+	backend   *Backend
+	execution executionID
+	fault     Fault
+	ctx       context.Context
+	cancel    context.CancelFunc
+	released  bool
 }
 
-// begin sheds the request or starts it: it takes a slot and enters the journal.
-// It returns nil when it has answered.
+// begin starts a request: it takes a slot and records the start in the journal. It
+// returns nil if the request has been answered instead, for example because it was
+// shed.
 func (b *Backend) begin(w http.ResponseWriter, r *http.Request) *job {
-	b.announce(w)
+	b.setInstanceHeaders(w)
 	if b.Behavior().Shed {
-		b.shed(w)
+		b.answerShed(w)
 		return nil
 	}
 	ctx, cancel, inTime := withDeadline(r)
@@ -59,44 +60,44 @@
 		http.Error(w, "time is over", http.StatusGatewayTimeout)
 		return nil
 	}
-	fault := b.faultOf(r)
+	fault := b.faultFor(r)
 	if fault == FaultResetBeforeRead {
 		cancel()
 		reset(w)
 		return nil
 	}
 	j := &job{backend: b, fault: fault, ctx: ctx, cancel: cancel}
-	j.run = execution{request: r.Header.Get(HeaderRequest), key: r.Header.Get(outcome.HeaderIdempotencyKey)}
-	j.take()
+	j.execution = executionID{request: r.Header.Get(HeaderRequest), key: r.Header.Get(outcome.HeaderIdempotencyKey)}
+	j.start()
 	return j
 }
 
-func (b *Backend) announce(w http.ResponseWriter) {
+func (b *Backend) setInstanceHeaders(w http.ResponseWriter) {
 	w.Header().Set(HeaderInstance, b.options.Name)
 	if b.draining.Load() != 0 && !b.Behavior().HideDraining {
 		w.Header().Set(report.HeaderDraining, report.HeaderValue)
 	}
 }
 
-// shedRetryAfter is what a shed answer gives as Retry-After, in seconds.
+// shedRetryAfter is the Retry-After of the answer to a shed request, in seconds.
 const shedRetryAfter = "1"
 
-func (b *Backend) shed(w http.ResponseWriter) {
+func (b *Backend) answerShed(w http.ResponseWriter) {
 	b.counters.shed.Add(1)
 	w.Header().Set(report.HeaderShed, report.HeaderValue)
 	w.Header().Set("Retry-After", shedRetryAfter)
 	http.Error(w, "shed", http.StatusServiceUnavailable)
 }
 
-func (b *Backend) faultOf(r *http.Request) Fault {
-	if named := r.Header.Get(HeaderFault); named != "" {
-		return Fault(named)
+func (b *Backend) faultFor(r *http.Request) Fault {
+	if name := r.Header.Get(HeaderFault); name != "" {
+		return Fault(name)
 	}
-	return b.faults.take()
+	return b.faults.next()
 }
 
-// withDeadline applies outcome.HeaderTimeout; inTime is false when it is not
-// positive.
+// withDeadline applies the timeout in outcome.HeaderTimeout. inTime is false if the
+// timeout is not a positive number.
 func withDeadline(r *http.Request) (ctx context.Context, cancel context.CancelFunc, inTime bool) {
 	text := r.Header.Get(outcome.HeaderTimeout)
 	if text == "" {
@@ -112,7 +113,7 @@
 	return ctx, cancel, true
 }
 
-func (j *job) take() {
+func (j *job) start() {
 	b := j.backend
 	inFlight := b.counters.inFlight.add(1)
 	b.loads.record(inFlight)
@@ -122,12 +123,13 @@
 	if b.drainedSince(DrainTolerance) {
 		b.counters.takenWhileDraining.Add(1)
 	}
-	b.journal.started(j.run)
+	b.journal.started(j.execution)
 }
 
-// release gives the slot back. It is called before the last byte of the answer
-// is sent, so that a client that counts answers never counts fewer in flight.
-func (j *job) release() {
+// releaseSlot gives the slot back. It is called before the last byte of the answer is
+// sent, so that the requests in flight never exceed those that a client still waits
+// for.
+func (j *job) releaseSlot() {
 	if j.released {
 		return
 	}
@@ -135,76 +137,77 @@
 	j.backend.loads.record(j.backend.counters.inFlight.add(-1))
 }
 
-// end releases what is still held.
+// end releases the slot, if it is still held, and the context.
 func (j *job) end() {
-	j.release()
+	j.releaseSlot()
 	j.cancel()
 }
 
-// work lasts as long as the request asks and reports whether it was done. If not,
-// it has ended the answer.
+// work waits for the duration of the work and reports whether it was completed. If
+// not, the request has been answered or its connection closed.
 func (j *job) work(w http.ResponseWriter, r *http.Request) bool {
 	if j.fault == FaultStall {
 		<-r.Context().Done()
-		j.release()
-		j.backend.journal.cancelled(j.run)
+		j.releaseSlot()
+		j.backend.journal.cancelled(j.execution)
 		panic(http.ErrAbortHandler)
 	}
 	if wait.For(j.ctx, j.backend.workTime(r)) != nil {
-		j.stopped()
-		giveUp(w, r, "time is over", http.StatusGatewayTimeout)
+		j.recordInterrupted()
+		answerFailure(w, r, "time is over", http.StatusGatewayTimeout)
 		return false
 	}
 	return true
 }
 
-// giveUp ends the answer to a request that failed, without one when the caller
-// went away.
-func giveUp(w http.ResponseWriter, r *http.Request, problem string, status int) {
+// answerFailure answers a request that failed, or closes the connection if the caller
+// has gone.
+func answerFailure(w http.ResponseWriter, r *http.Request, problem string, status int) {
 	if r.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
 	http.Error(w, problem, status)
 }
 
-// readBody returns the whole body of the request, or breaks off.
+// readBody returns the whole body of the request, or aborts the request if that fails.
 func (j *job) readBody(r *http.Request) []byte {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		j.breakOff()
+		j.abort()
 	}
 	return body
 }
 
-// breakOff ends a request that cannot go on and cuts its answer.
-func (j *job) breakOff() {
-	j.stopped()
+// abort ends a request that cannot continue and closes its connection.
+func (j *job) abort() {
+	j.recordInterrupted()
 	panic(http.ErrAbortHandler)
 }
 
-// stopped enters in the journal why the work ended early. The slot is given back
-// before, so that who reads the journal never counts the request in flight.
-func (j *job) stopped() {
-	j.release()
+// recordInterrupted records in the journal why the work ended early. It releases the
+// slot first, so that a request that the journal shows as ended is never counted in
+// flight.
+func (j *job) recordInterrupted() {
+	j.releaseSlot()
 	if context.Cause(j.ctx) == context.DeadlineExceeded {
-		j.backend.journal.expired(j.run)
+		j.backend.journal.expired(j.execution)
 		return
 	}
-	j.backend.journal.cancelled(j.run)
+	j.backend.journal.cancelled(j.execution)
 }
 
 func (b *Backend) workTime(r *http.Request) time.Duration {
-	span := b.Behavior().WorkTime.Duration()
+	duration := b.Behavior().WorkTime.Duration()
 	if millis, err := strconv.ParseFloat(r.Header.Get(HeaderWork), 64); err == nil && millis >= 0 {
-		span = time.Duration(millis * float64(time.Millisecond))
+		duration = time.Duration(millis * float64(time.Millisecond))
 	}
-	if b.cold() && b.options.ColdFactor > 1 {
-		span = time.Duration(float64(span) * b.options.ColdFactor)
+	if b.isCold() && b.options.ColdFactor > 1 {
+		duration = time.Duration(float64(duration) * b.options.ColdFactor)
 	}
-	return span
+	return duration
 }
 
-// reset resets the connection under an answer that has not ended.
+// reset resets the connection of a request.
 func reset(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
