--- a/internal/bench/storesoak/callers.go
+++ b/internal/bench/storesoak/callers.go
@@ -17,42 +17,42 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// kind tells what a call is for.
-type kind uint8
+// callKind is the purpose of a call, which decides how often it may run.
+type callKind uint8
 
 const (
-	kindRead  kind = 0 // may be repeated
-	kindWrite kind = 1 // may run once
-	kindProbe kind = 2 // to a route that changes concern
+	kindRead  callKind = 0 // safe: may run several times
+	kindWrite callKind = 1 // unsafe: may run at most once
+	kindProbe callKind = 2 // to a route that configuration changes add, change or remove
 )
 
-// callerMillis is how long callers say that they wait.
-const callerMillis = 3000
+// callerDeadlineMillis is the deadline that callers send with each call.
+const callerDeadlineMillis = 3000
 
-// call is one request of a caller and what became of it.
+// call is one request of a caller with its result.
 type call struct {
 	id      string
-	kind    kind
+	kind    callKind
 	machine int
-	// route is the number of the route that a probe is for.
+	// route is the number of the route that a probe requests.
 	route int
-	// life is the run of the node's process that the call began in.
-	life int64
-	path string
-	body string
+	// incarnation counts the starts of the node's process when the call was planned.
+	incarnation int64
+	path        string
+	body        string
 
 	sent, ended time.Time
-	// written says that the whole request was written.
-	written bool
-	// status is 0 when there was no whole answer.
-	status int
-	answer string
-	stamp  string
-	retry  string // Retry-After of a refusal
-	err    error
+	// requestWritten is set once the whole request was written to the connection.
+	requestWritten bool
+	// status is 0 if no complete response arrived.
+	status       int
+	responseBody string
+	stamp        string
+	retryAfter   string // Retry-After header of the response
+	err          error
 }
 
-// callers send requests to the nodes beside front instances and note all of them.
+// callers sends requests to the nodes of the fleet and records every call.
 type callers struct {
 	fleet  *fleet
 	random *rand.Rand
@@ -72,67 +72,67 @@
 	}
 }
 
-// run sends about rate calls a second until the context ends, and returns when the
-// last has its answer.
+// run sends calls at an average of rate per second until the context ends, and returns once
+// every call has ended.
 func (c *callers) run(ctx context.Context, rate float64) {
 	for {
 		pause := time.Duration(c.random.ExpFloat64() / rate * float64(time.Second))
 		if wait.For(ctx, pause) != nil {
 			break
 		}
-		planned := c.plan()
+		planned := c.planCall()
 		c.sending.Go(func() { c.send(planned) })
 	}
 	c.sending.Wait()
 	c.client.CloseIdleConnections()
 }
 
-// plan draws the next call.
-func (c *callers) plan() *call {
+// planCall draws the next call at random and records it.
+func (c *callers) planCall() *call {
 	machine := c.fleet.machines[c.random.IntN(len(c.fleet.machines))]
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.next++
-	known := c.fleet.catalog.known()
-	planned := &call{id: fmt.Sprintf("call-%06d", c.next), machine: machine.number, life: machine.life.Load()}
+	routeCount := c.fleet.catalog.routeCount()
+	planned := &call{id: fmt.Sprintf("call-%06d", c.next), machine: machine.number, incarnation: machine.incarnation.Load()}
 	switch draw := c.random.IntN(10); {
 	case draw < 4:
 		planned.kind, planned.path = kindRead, pathRead+planned.id
-	case draw < 8 || known == 0:
+	case draw < 8 || routeCount == 0:
 		planned.kind, planned.path = kindWrite, pathWrite+planned.id
 		planned.body = "body of " + planned.id + strings.Repeat(" x", c.random.IntN(200))
 	default:
-		planned.kind, planned.route = kindProbe, c.probedRoute(known)
+		planned.kind, planned.route = kindProbe, c.drawProbedRoute(routeCount)
 		planned.path = addedPath(planned.route) + planned.id
 	}
 	c.calls = append(c.calls, planned)
 	return planned
 }
 
-// probedRoute is one that the last change concerned, or any.
-func (c *callers) probedRoute(known int) int {
+// drawProbedRoute returns, two times in three, a route of the last change, otherwise any.
+func (c *callers) drawProbedRoute(routeCount int) int {
 	const oneIn = 3
-	if last := c.fleet.catalog.concernedByLast(); len(last) > 0 && c.random.IntN(oneIn) > 0 {
+	if last := c.fleet.catalog.changedByLast(); len(last) > 0 && c.random.IntN(oneIn) > 0 {
 		return last[c.random.IntN(len(last))]
 	}
-	return 1 + c.random.IntN(known)
+	return 1 + c.random.IntN(routeCount)
 }
 
-// all returns the calls so far. They are whole once run has returned.
+// all returns the calls so far. Their results are complete once run has returned.
 func (c *callers) all() []*call {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]*call(nil), c.calls...)
 }
 
-// send makes one call and notes its answer.
+// send sends one call and records its result.
 func (c *callers) send(planned *call) {
 	planned.sent = time.Now()
 	defer func() { planned.ended = time.Now() }()
-	ctx, cancel := context.WithTimeout(context.Background(), callerMillis*time.Millisecond+time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), callerDeadlineMillis*time.Millisecond+time.Second)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		WroteRequest: func(info httptrace.WroteRequestInfo) { planned.written = info.Err == nil },
+		WroteRequest: func(info httptrace.WroteRequestInfo) { planned.requestWritten = info.Err == nil },
 	})
 	response, err := c.client.Do(c.request(ctx, planned))
 	if err != nil {
@@ -145,10 +145,10 @@
 		planned.err = err
 		return
 	}
-	planned.status, planned.answer = response.StatusCode, string(body)
-	planned.stamp, planned.retry = response.Header.Get(instance.HeaderStamp), response.Header.Get("Retry-After")
+	planned.status, planned.responseBody = response.StatusCode, string(body)
+	planned.stamp, planned.retryAfter = response.Header.Get(instance.HeaderStamp), response.Header.Get("Retry-After")
 	if response.Header.Get(instance.HeaderID) != planned.id {
-		planned.err = errors.New("the answer bears another id")
+		planned.err = errors.New("the response has the id of another request")
 	}
 }
 
@@ -160,11 +160,11 @@
 	request, err := http.NewRequestWithContext(ctx, method,
 		"http://"+c.fleet.machines[planned.machine].callers+planned.path, strings.NewReader(planned.body))
 	if err != nil {
-		panic(err) // the address and the path are sound
+		panic(err) // the address and the path are always valid
 	}
 	request.Host = host
 	request.Header.Set(instance.HeaderID, planned.id)
-	request.Header.Set(instance.HeaderDeadline, strconv.Itoa(callerMillis))
+	request.Header.Set(instance.HeaderDeadline, strconv.Itoa(callerDeadlineMillis))
 	request.Header.Set(instance.HeaderCaller, "forged")
 	return request
 }
--- a/internal/bench/storesoak/catalog.go
+++ b/internal/bench/storesoak/catalog.go
@@ -11,80 +11,81 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// The routes that exist from the start, and those that changes concern.
+// Host, paths and timeouts of the configured routes.
 const (
 	host      = "soak.example"
 	pathRead  = "/read/"
 	pathWrite = "/write/"
-	// pathCheck is called by the instances of serviceRead.
-	pathCheck   = "/check/"
-	routeMillis = 2000
-	// otherMillis is the time of a route whose time was changed.
-	otherMillis = 1900
+	// pathCheck is requested by the instances of serviceRead.
+	pathCheck          = "/check/"
+	routeTimeoutMillis = 2000
+	// changedTimeoutMillis is the timeout of a route after a change of its timeout.
+	changedTimeoutMillis = 1900
 )
 
-// routeState is what a version of the configuration says of a route: the service that it
-// leads to, or absent.
+// routeState is the state of a route in a version of the configuration: the service that
+// it targets, or absent.
 type routeState string
 
 const absent routeState = ""
 
-// routeChange is the state of a route from a version on.
+// routeChange is the state of a route from one version on.
 type routeChange struct {
 	version int
 	state   routeState
 }
 
-// version is one configuration as operators wrote it.
+// version is one configuration that an operator wrote.
 type version struct {
 	number int
-	// revision is the store's, in the era in which the configuration was written.
+	// revision is that of the store, in the era in which the configuration was written.
 	revision snapshot.Revision
-	// sent and acknowledged bound when it was written.
+	// sent and acknowledged are when the write to the store was sent and confirmed.
 	sent, acknowledged time.Time
-	// kind tells what it changed, for reports.
+	// kind names the edit, for reports.
 	kind string
-	// concerned are the routes that it changed.
-	concerned []int
-	// invalid versions must not be taken.
+	// changedRoutes are the routes that it changed.
+	changedRoutes []int
+	// invalid versions must be rejected by the nodes.
 	invalid bool
 }
 
-// catalog is the configuration that operators write, with all of its versions.
+// catalog holds every version of the configuration that operators wrote.
 type catalog struct {
 	mutex    sync.Mutex
 	versions []version
-	// states holds each route's changes in the order of versions; route n is at n-1.
+	// states holds the changes of each route by ascending version; route n is at index n-1.
 	states [][]routeChange
-	// slower are the routes whose time was changed.
-	slower map[int]bool
-	// namesCold says that services name what cold instances bear.
-	namesCold bool
+	// timeoutChanged has the routes whose timeout was changed.
+	timeoutChanged map[int]bool
+	// declaresColdStart sets the rate that cold instances can serve in each service.
+	declaresColdStart bool
 }
 
-func newCatalog() *catalog { return &catalog{slower: make(map[int]bool)} }
+func newCatalog() *catalog { return &catalog{timeoutChanged: make(map[int]bool)} }
 
-// addedPath is the path of route n, from 1 on.
+// addedPath returns the path prefix of route n; routes count from 1.
 func addedPath(n int) string { return fmt.Sprintf("/added-%d/", n) }
 
-// known returns how many routes were ever added.
-func (c *catalog) known() int {
+// routeCount returns how many routes were ever added.
+func (c *catalog) routeCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.states)
 }
 
-// concernedByLast returns the routes that the last version changed.
-func (c *catalog) concernedByLast() []int {
+// changedByLast returns the routes that the last version changed.
+func (c *catalog) changedByLast() []int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.versions) == 0 {
 		return nil
 	}
-	return c.versions[len(c.versions)-1].concerned
+	return c.versions[len(c.versions)-1].changedRoutes
 }
 
-// stateAt returns the state of a route in a version. The mutex is held, or the run over.
+// stateAt returns the state of a route in a version. Callers hold the mutex until the soak
+// has ended.
 func (c *catalog) stateAt(route, number int) routeState {
 	changes := c.states[route-1]
 	for i := len(changes) - 1; i >= 0; i-- {
@@ -95,23 +96,23 @@
 	return absent
 }
 
-// edit is one kind of change. It returns the routes concerned, none if it does not apply;
-// most bounds how many routes there are.
+// edit is one kind of change. apply returns the changed routes, none if nothing could be
+// changed, and lets the number of routes grow up to maxRoutes.
 type edit struct {
 	name    string
 	invalid bool
-	apply   func(c *catalog, random *rand.Rand, number, most int) []int
+	apply   func(c *catalog, random *rand.Rand, number, maxRoutes int) []int
 }
 
-// edits are drawn with equal chance.
+// edits are drawn with equal probability.
 var edits = []edit{
 	{name: "add a route", apply: func(c *catalog, _ *rand.Rand, number, _ int) []int { return c.add(number, 1) }},
-	{name: "add many routes", apply: func(c *catalog, random *rand.Rand, number, most int) []int {
-		return c.add(number, 1+random.IntN(max(most-len(c.states), 1)))
+	{name: "add many routes", apply: func(c *catalog, random *rand.Rand, number, maxRoutes int) []int {
+		return c.add(number, 1+random.IntN(max(maxRoutes-len(c.states), 1)))
 	}},
 	{name: "remove routes", apply: (*catalog).remove},
 	{name: "lead routes to another service", apply: (*catalog).retarget},
-	{name: "change the time of routes", apply: (*catalog).slow},
+	{name: "change the time of routes", apply: (*catalog).changeTimeout},
 	{name: "a configuration that is not valid", invalid: true, apply: func(*catalog, *rand.Rand, int, int) []int { return nil }},
 }
 
@@ -123,13 +124,13 @@
 	return added
 }
 
-// mostConcerned is how many routes a change of existing ones concerns at most.
-const mostConcerned = 5
+// maxChangedRoutes bounds how many existing routes one edit changes.
+const maxChangedRoutes = 5
 
-// present draws some routes that exist.
-func (c *catalog) present(random *rand.Rand, number int) []int {
+// drawPresent draws up to maxChangedRoutes routes that exist in a version.
+func (c *catalog) drawPresent(random *rand.Rand, number int) []int {
 	var found []int
-	for range mostConcerned {
+	for range maxChangedRoutes {
 		if len(c.states) == 0 {
 			break
 		}
@@ -140,60 +141,61 @@
 	return found
 }
 
-func (c *catalog) set(route, number int, state routeState) {
+func (c *catalog) setState(route, number int, state routeState) {
 	c.states[route-1] = append(c.states[route-1], routeChange{number, state})
 }
 
 func (c *catalog) remove(random *rand.Rand, number, _ int) []int {
-	found := c.present(random, number)
+	found := c.drawPresent(random, number)
 	for _, route := range found {
-		c.set(route, number, absent)
+		c.setState(route, number, absent)
 	}
 	return found
 }
 
 func (c *catalog) retarget(random *rand.Rand, number, _ int) []int {
-	found := c.present(random, number)
+	found := c.drawPresent(random, number)
 	for _, route := range found {
 		next := routeState(serviceWrite)
 		if c.stateAt(route, number) == serviceWrite {
 			next = serviceRead
 		}
-		c.set(route, number, next)
+		c.setState(route, number, next)
 	}
 	return found
 }
 
-func (c *catalog) slow(random *rand.Rand, number, _ int) []int {
-	found := c.present(random, number)
+func (c *catalog) changeTimeout(random *rand.Rand, number, _ int) []int {
+	found := c.drawPresent(random, number)
 	for _, route := range found {
-		c.slower[route] = true
+		c.timeoutChanged[route] = true
 	}
 	return found
 }
 
-// change draws the next version and writes it; most bounds how many routes there are.
-func (c *catalog) change(random *rand.Rand, most int, write func(store.Configuration) snapshot.Revision) version {
+// writeRandom applies a random edit and writes the next version; maxRoutes bounds the number
+// of routes.
+func (c *catalog) writeRandom(random *rand.Rand, maxRoutes int, write func(store.Configuration) snapshot.Revision) version {
 	drawn := edits[random.IntN(len(edits))]
-	return c.write(drawn, random, most, write)
+	return c.write(drawn, random, maxRoutes, write)
 }
 
-// begin writes the first version, with routes that are there from the start.
-func (c *catalog) begin(routes int, write func(store.Configuration) snapshot.Revision) {
+// writeFirst writes the first version, which has the given number of routes.
+func (c *catalog) writeFirst(routes int, write func(store.Configuration) snapshot.Revision) {
 	first := edit{name: "the first", apply: func(c *catalog, _ *rand.Rand, number, _ int) []int { return c.add(number, routes) }}
 	c.write(first, nil, 0, write)
 }
 
-func (c *catalog) write(drawn edit, random *rand.Rand, most int, write func(store.Configuration) snapshot.Revision) version {
+func (c *catalog) write(drawn edit, random *rand.Rand, maxRoutes int, write func(store.Configuration) snapshot.Revision) version {
 	c.mutex.Lock()
 	number := len(c.versions) + 1
 	next := version{number: number, kind: drawn.name, invalid: drawn.invalid, sent: time.Now()}
-	next.concerned = drawn.apply(c, random, number, most)
+	next.changedRoutes = drawn.apply(c, random, number, maxRoutes)
 	document := c.document(number)
 	if drawn.invalid {
-		document.VirtualHosts = []store.VirtualHost{{Host: host, Paths: []store.Route{newRoute("wrong", "/only/", store.KindSafe, "nowhere", routeMillis)}}}
+		document.VirtualHosts = []store.VirtualHost{{Host: host, Paths: []store.Route{newRoute("wrong", "/only/", store.KindSafe, "nowhere", routeTimeoutMillis)}}}
 	}
-	c.versions = append(c.versions, next) // counts from when it is sent
+	c.versions = append(c.versions, next) // probes may see it from the moment that it is sent
 	c.mutex.Unlock()
 	next.revision = write(document)
 	next.acknowledged = time.Now()
@@ -203,20 +205,20 @@
 	return next
 }
 
-// document is the configuration of a version. The mutex is held.
+// document returns the configuration of a version. Callers hold the mutex.
 func (c *catalog) document(number int) store.Configuration {
 	paths := []store.Route{
-		newRoute("read", pathRead, store.KindSafe, serviceRead, routeMillis),
-		newRoute("write", pathWrite, store.KindUnsafe, serviceWrite, routeMillis),
-		newRoute("check", pathCheck, store.KindSafe, serviceWrite, routeMillis),
+		newRoute("read", pathRead, store.KindSafe, serviceRead, routeTimeoutMillis),
+		newRoute("write", pathWrite, store.KindUnsafe, serviceWrite, routeTimeoutMillis),
+		newRoute("check", pathCheck, store.KindSafe, serviceWrite, routeTimeoutMillis),
 	}
 	for route := 1; route <= len(c.states); route++ {
-		state, millis := c.stateAt(route, number), routeMillis
+		state, millis := c.stateAt(route, number), routeTimeoutMillis
 		if state == absent {
 			continue
 		}
-		if c.slower[route] {
-			millis = otherMillis
+		if c.timeoutChanged[route] {
+			millis = changedTimeoutMillis
 		}
 		paths = append(paths, newRoute(fmt.Sprint("added-", route), addedPath(route), store.KindSafe, string(state), millis))
 	}
@@ -228,12 +230,12 @@
 	}
 }
 
-// services name what cold instances bear, if they may be cold.
+// services returns the services, with their cold start rates if declaresColdStart is set.
 func (c *catalog) services() (named []store.Service) {
 	for _, name := range []string{serviceFront, serviceRead, serviceWrite} {
 		service := store.Service{Name: name}
-		if c.namesCold {
-			service.ColdStartS, service.ColdPerS = coldStart.Seconds(), coldPerSecond
+		if c.declaresColdStart {
+			service.ColdStartS, service.ColdPerS = coldStartDuration.Seconds(), coldRatePerSecond
 		}
 		named = append(named, service)
 	}
--- a/internal/bench/storesoak/cold.go
+++ b/internal/bench/storesoak/cold.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// coldPerSecond is what a cold instance bears by the configuration, coldMost from how many
-	// on it falls over: with the bounds that nodes have unless they are told others.
-	coldPerSecond, coldMost = 4, 8
-	// coldStart is how long instances of the configuration are cold.
-	coldStart = 3 * time.Second
+	// coldRatePerSecond is the rate that the configuration declares for a cold instance. The
+	// instance fails above coldOverloadPerSecond, which leaves room for what nodes may send
+	// beyond the declared rate with their default settings.
+	coldRatePerSecond, coldOverloadPerSecond = 4, 8
+	// coldStartDuration is how long an instance stays cold.
+	coldStartDuration = 3 * time.Second
 )
 
-// kindsWithoutCold is how many kinds of faults there were before cold instances: soaks of that
-// time play as they did.
-const kindsWithoutCold = 20
+// kindsBeforeColdStart is how many kinds of faults precede cold instances. Regressions with
+// at most that many run without cold start rates, as they did when they were recorded.
+const kindsBeforeColdStart = 20
 
-// startCold ends an instance as planned and starts a cold one at its address.
-func startCold(random *rand.Rand, f *fleet) fault {
-	m := oneOf(random, f)
+// replaceByColdInstance drains an instance and starts a cold one at its address.
+func replaceByColdInstance(random *rand.Rand, f *fleet) fault {
+	m := randomMachine(random, f)
 	return fault{
-		name: "replace an instance by a cold one", machines: []int{m.number},
+		name: "replace an instance with a cold one", machines: []int{m.number},
 		begin: func(context.Context) error { m.replacing.Lock(); f.drain(m); return nil },
-		undo:  func(context.Context) error { return f.endReplacement(m, coldStart) },
+		undo:  func(context.Context) error { return f.finishReplacement(m, coldStartDuration) },
 	}
 }
 
-// judgeCold finds the instances that got more than they bore while they were cold.
-func (s *soak) judgeCold() {
+// checkColdInstances reports the instances that were overloaded while they were cold.
+func (s *soak) checkColdInstances() {
 	for _, m := range s.fleet.machines {
 		for _, emulated := range m.instances() {
 			if emulated.FellOver() {
 				s.report.FellOver++
-				s.broken("%s got more than %d requests in a second while it was cold", emulated.Name, coldMost)
+				s.violation("%s received more than %d requests within a second while it was cold", emulated.Name, coldOverloadPerSecond)
 			}
 		}
 	}
--- a/internal/bench/storesoak/crash.go
+++ b/internal/bench/storesoak/crash.go
@@ -15,47 +15,49 @@
 )
 
 const (
-	// crashPrefix begins the ids of calls that crash the instances which run them.
+	// crashPrefix is the id prefix of calls that crash the instances that run them.
 	crashPrefix = "crash-"
-	// crashPath is the rest of their path: they all have the same content.
+	// crashPath is the last path segment of these calls. It is constant so that all of a kind
+	// have the same content, by which nodes recognize them.
 	crashPath = "the-one"
-	// crashBody is the body of those that may run once.
+	// crashBody is the body of unsafe crashing calls.
 	crashBody = "the body"
-	// shortestDown and longestDown bound how long a crashed instance stays away.
-	shortestDown, longestDown = 500 * time.Millisecond, 3 * time.Second
-	// mostAfterThird is how often such a request may reach instances once it has crashed
-	// so many (crashesBefore) and contact has passed.
-	mostAfterThird, crashesBefore = 3, 3
-	// shutOut is what a refusal says of a request that crashes instances.
-	shutOut = "it crashes the instances"
+	// shortestDowntime and longestDowntime bound how long a crashed instance stays down.
+	shortestDowntime, longestDowntime = 500 * time.Millisecond, 3 * time.Second
+	// maxAfterThirdCrash is how often a request may still reach instances settleTime after it
+	// has crashed crashesBefore of them.
+	maxAfterThirdCrash, crashesBefore = 3, 3
+	// crashRefusalText is part of the refusal of a request that crashes instances.
+	crashRefusalText = "it crashes the instances"
 )
 
-// crashable has an instance crash on calls that crash it, and start again under its name.
-func (f *fleet) crashable(emulated *instance.Instance, m *machine) {
+// enableCrashes makes an instance crash on crashing calls and restart under its name.
+func (f *fleet) enableCrashes(emulated *instance.Instance, m *machine) {
 	emulated.CrashesOn = func(id string) bool { return strings.HasPrefix(id, crashPrefix) }
 	emulated.Crashed = func() {
-		down := shortestDown + time.Duration(rand.Int64N(int64(longestDown-shortestDown)))
-		time.AfterFunc(down, func() { f.startAgain(emulated, m) })
+		down := shortestDowntime + time.Duration(rand.Int64N(int64(longestDowntime-shortestDowntime)))
+		time.AfterFunc(down, func() { f.restartInstance(emulated, m) })
 	}
 }
 
-// startAgain starts a crashed instance, unless another one has taken its place.
-func (f *fleet) startAgain(emulated *instance.Instance, m *machine) {
+// restartInstance restarts a crashed instance unless it has been replaced.
+func (f *fleet) restartInstance(emulated *instance.Instance, m *machine) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.instance != emulated || emulated.Restart() != nil {
 		return
 	}
-	m.born = time.Now()
-	f.endings.endLife(emulated.Name)
-	f.listFor(m, store.StateReady, 0)
+	m.startedAt = time.Now()
+	f.withdrawals.endFor(emulated.Name)
+	f.register(m, store.StateReady, 0)
 }
 
-// crashKinds are the two contents that crash instances.
-var crashKinds = []kind{kindRead, kindWrite}
+// crashKinds are the kinds of crashing calls; all calls of a kind have the same content.
+var crashKinds = []callKind{kindRead, kindWrite}
 
-// runCrashing sends about rate calls a second that crash instances, until the context ends.
-func (c *callers) runCrashing(ctx context.Context, rate float64, seed uint64) {
+// runCrashingCalls sends crashing calls at an average of rate per second until the context
+// ends.
+func (c *callers) runCrashingCalls(ctx context.Context, rate float64, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, seed+2))
 	for number := 1; ; number++ {
 		if wait.For(ctx, time.Duration(random.ExpFloat64()/rate*float64(time.Second))) != nil {
@@ -63,7 +65,7 @@
 		}
 		machine := c.fleet.machines[random.IntN(len(c.fleet.machines))]
 		planned := &call{
-			id: fmt.Sprintf("%s%06d", crashPrefix, number), machine: machine.number, life: machine.life.Load(),
+			id: fmt.Sprintf("%s%06d", crashPrefix, number), machine: machine.number, incarnation: machine.incarnation.Load(),
 			kind: crashKinds[random.IntN(len(crashKinds))], path: pathRead + crashPath,
 		}
 		if planned.kind == kindWrite {
@@ -76,28 +78,27 @@
 	}
 }
 
-func (c *call) crashes() bool { return strings.HasPrefix(c.id, crashPrefix) }
+func (c *call) crashesInstances() bool { return strings.HasPrefix(c.id, crashPrefix) }
 
-// judgeCrashes counts, for each content that crashes instances, what reached instances once it
-// had crashed three, from machines that nothing struck; and the others that were refused as if
-// they did.
-func (s *soak) judgeCrashes(calls []*call, runs map[string][]run) {
+// checkCrashes checks that requests that crash instances are kept from them after
+// crashesBefore crashes, and that no other request is refused as one of these.
+func (s *soak) checkCrashes(calls []*call, runs map[string][]run) {
 	for _, kind := range crashKinds {
-		s.judgeCrashesOf(kind, calls, runs)
+		s.checkCrashesOf(kind, calls, runs)
 	}
 	for _, c := range calls {
-		if !c.crashes() && c.status == http.StatusServiceUnavailable && strings.Contains(c.answer, shutOut) {
+		if !c.crashesInstances() && c.status == http.StatusServiceUnavailable && strings.Contains(c.responseBody, crashRefusalText) {
 			s.report.ShutOut++
-			s.broken("%s was refused as if it crashed instances", c.id)
+			s.violation("%s was refused as a request that crashes instances, which it is not", c.id)
 		}
 	}
 }
 
-func (s *soak) judgeCrashesOf(kind kind, calls []*call, runs map[string][]run) {
+func (s *soak) checkCrashesOf(kind callKind, calls []*call, runs map[string][]run) {
 	var arrived []run
 	sender := make(map[string]int)
 	for _, c := range calls {
-		if c.crashes() && c.kind == kind {
+		if c.crashesInstances() && c.kind == kind {
 			sender[c.id] = c.machine
 			arrived = append(arrived, runs[c.id]...)
 		}
@@ -107,16 +108,16 @@
 	if len(arrived) <= crashesBefore {
 		return
 	}
-	from, after := arrived[crashesBefore-1].Began.Add(longestWork+contact), 0
+	from, after := arrived[crashesBefore-1].Began.Add(longestWork+settleTime), 0
 	for _, each := range arrived[crashesBefore:] {
-		since := each.Began.Add(-contact)
-		inTouch := !s.history.isStruck(sender[each.ID], since, each.Began) && !s.history.isStruck(each.machine.number, since, each.Began)
-		if each.Began.After(from) && inTouch {
+		since := each.Began.Add(-settleTime)
+		unimpaired := !s.history.isImpaired(sender[each.ID], since, each.Began) && !s.history.isImpaired(each.machine.number, since, each.Began)
+		if each.Began.After(from) && unimpaired {
 			after++
 		}
 	}
 	s.report.AfterThirdCrash = max(s.report.AfterThirdCrash, after)
-	if after > mostAfterThird {
-		s.broken("a request that had crashed %d instances reached instances %d times more, %d in all", crashesBefore, after, len(arrived))
+	if after > maxAfterThirdCrash {
+		s.violation("after a request had crashed %d instances it reached instances %d more times, %d in all", crashesBefore, after, len(arrived))
 	}
 }
--- a/internal/bench/storesoak/faults.go
+++ b/internal/bench/storesoak/faults.go
@@ -13,48 +13,51 @@
 	"github.com/winchhead/winchhead/internal/emulator/store"
 )
 
-// fault is one disturbance: it begins, lasts and is undone.
+// fault is one fault to inject: begin causes it and undo removes it.
 type fault struct {
 	name string
-	// machines are the numbers of those concerned.
+	// machines are the numbers of the affected machines.
 	machines []int
-	// planned is set for work that must cost no request.
+	// planned marks planned maintenance, which must not fail any request.
 	planned bool
-	// struck are the machines whose process or links are harmed: bounds of time do not
-	// hold for them meanwhile.
-	struck []int
-	// source is what it does to the store.
-	source sourceHarm
-	// lasting is how long it lasts; zero: drawn.
-	lasting time.Duration
-	begin   func(ctx context.Context) error
-	undo    func(ctx context.Context) error
+	// impaired are the machines whose process or links are disturbed: time bounds do not
+	// apply to them during the fault.
+	impaired []int
+	// storeState is the state of the store during the fault.
+	storeState storeState
+	// duration is the minimum time for which it lasts; zero: as drawn.
+	duration time.Duration
+	begin    func(ctx context.Context) error
+	undo     func(ctx context.Context) error
 }
 
-// chooser draws one kind of fault with its targets.
-type chooser func(random *rand.Rand, f *fleet) fault
+// faultGenerator draws the targets of one kind of fault and returns the fault.
+type faultGenerator func(random *rand.Rand, f *fleet) fault
 
-// choosers are all kinds, drawn with equal chance.
-var choosers = []chooser{
-	killNodes, killHerd, pauseNodes, stopNode, storeDown, storeRefusesSome, storeRefusesReaders, forgetHistory,
-	drainInstance, crashInstance, spoilAnswers, forgetConnections, hangInstance,
-	hopFault("reset before a request arrives", faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsServer}),
-	hopFault("reset after a request was sent", faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsClient}),
-	hopFault("cut within an answer", faultproxy.Fault{Kind: faultproxy.CutAfter, Direction: faultproxy.TowardsClient, Bytes: 300}),
-	hopFault("half dead", faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.TowardsClient}),
-	hopFault("slow", faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.TowardsServer, Delay: 100 * time.Millisecond}),
-	cutFromPeers, rejectAcross, silenceConnections, startCold,
-	leaveSilently, evacuateZone, restoreStore,
+// faultGenerators are all kinds of faults, drawn with equal probability. New kinds go to the
+// end: regressions are replayed from their seed and the number of kinds of their time.
+var faultGenerators = []faultGenerator{
+	killNodes, killManyNodes, pauseNodes, stopNode, storeDown, storeRefusesSome, storeRefusesReaders, compactHistory,
+	replaceInstance, crashInstance, corruptResponses, forgetConnections, hangInstance,
+	linkFault("connection reset before the request arrives", faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsServer}),
+	linkFault("connection reset after the request was sent", faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsClient}),
+	linkFault("connection closed in the middle of a response", faultproxy.Fault{Kind: faultproxy.CutAfter, Direction: faultproxy.TowardsClient, Bytes: 300}),
+	linkFault("responses stalled", faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.TowardsClient}),
+	linkFault("slow", faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.TowardsServer, Delay: 100 * time.Millisecond}),
+	cutFromPeers, rejectAtAllInstances, silenceConnections, replaceByColdInstance,
+	deregisterInstance, evacuateZone, restoreStore,
 }
 
-// someOf draws count different machines.
-func someOf(random *rand.Rand, f *fleet, count int) []int {
+// randomMachines draws the numbers of count distinct machines.
+func randomMachines(random *rand.Rand, f *fleet, count int) []int {
 	return random.Perm(len(f.machines))[:count]
 }
 
-func oneOf(random *rand.Rand, f *fleet) *machine { return f.machines[random.IntN(len(f.machines))] }
+func randomMachine(random *rand.Rand, f *fleet) *machine {
+	return f.machines[random.IntN(len(f.machines))]
+}
 
-// forAll calls a function for machines by number and returns the first error.
+// forAll calls act for each machine by number and stops at the first error.
 func (f *fleet) forAll(numbers []int, act func(m *machine) error) error {
 	for _, number := range numbers {
 		if err := act(f.machines[number]); err != nil {
@@ -66,7 +69,7 @@
 
 func (f *fleet) killAndRestart(name string, numbers []int) fault {
 	return fault{
-		name: name, machines: numbers, struck: numbers,
+		name: name, machines: numbers, impaired: numbers,
 		begin: func(context.Context) error {
 			return f.forAll(numbers, func(m *machine) error { return m.process.Kill() })
 		},
@@ -80,17 +83,17 @@
 }
 
 func killNodes(random *rand.Rand, f *fleet) fault {
-	return f.killAndRestart("kill nodes", someOf(random, f, 1+random.IntN(2)))
+	return f.killAndRestart("kill nodes", randomMachines(random, f, 1+random.IntN(2)))
 }
 
-func killHerd(random *rand.Rand, f *fleet) fault {
-	return f.killAndRestart("kill a herd", someOf(random, f, len(f.machines)/2+random.IntN(len(f.machines)/2+1)))
+func killManyNodes(random *rand.Rand, f *fleet) fault {
+	return f.killAndRestart("kill at least half of the nodes", randomMachines(random, f, len(f.machines)/2+random.IntN(len(f.machines)/2+1)))
 }
 
 func pauseNodes(random *rand.Rand, f *fleet) fault {
-	numbers := someOf(random, f, 1+random.IntN(2))
+	numbers := randomMachines(random, f, 1+random.IntN(2))
 	return fault{
-		name: "pause nodes", machines: numbers, struck: numbers,
+		name: "pause nodes", machines: numbers, impaired: numbers,
 		begin: func(context.Context) error {
 			return f.forAll(numbers, func(m *machine) error { return m.process.Pause() })
 		},
@@ -100,11 +103,11 @@
 	}
 }
 
-// stopNode makes a planned stop and starts the node again.
+// stopNode stops a node gracefully and starts it again.
 func stopNode(random *rand.Rand, f *fleet) fault {
-	m := oneOf(random, f)
+	m := randomMachine(random, f)
 	return fault{
-		name: "stop a node as planned", machines: []int{m.number}, struck: []int{m.number}, planned: true,
+		name: "stop a node gracefully", machines: []int{m.number}, impaired: []int{m.number}, planned: true,
 		begin: func(ctx context.Context) error {
 			ctx, cancel := context.WithTimeout(ctx, drainGrace+time.Second)
 			defer cancel()
@@ -119,36 +122,35 @@
 	}
 }
 
-// forgetHistory drops the store's history while an instance leaves.
-func forgetHistory(random *rand.Rand, f *fleet) fault {
-	leaving := drainInstance(random, f)
-	inner := leaving.begin
-	leaving.name = "the store forgets its history while an instance drains"
-	leaving.begin = func(ctx context.Context) error {
-		if err := inner(ctx); err != nil {
+// compactHistory compacts the store's history while an instance is being replaced.
+func compactHistory(random *rand.Rand, f *fleet) fault {
+	replacement := replaceInstance(random, f)
+	beginReplacement := replacement.begin
+	replacement.name = "the store compacts its history while an instance drains"
+	replacement.begin = func(ctx context.Context) error {
+		if err := beginReplacement(ctx); err != nil {
 			return err
 		}
 		f.store.Compact()
 		return nil
 	}
-	return leaving
+	return replacement
 }
 
-// drainInstance lets an instance say that it leaves, leave, and another one take its
-// place and address.
-func drainInstance(random *rand.Rand, f *fleet) fault {
-	m := oneOf(random, f)
+// replaceInstance drains an instance and replaces it with a new one at the same address.
+func replaceInstance(random *rand.Rand, f *fleet) fault {
+	m := randomMachine(random, f)
 	return fault{
 		name: "replace an instance", machines: []int{m.number}, planned: true,
 		begin: func(context.Context) error { m.replacing.Lock(); f.drain(m); return nil },
-		undo:  func(context.Context) error { return f.endReplacement(m, 0) },
+		undo:  func(context.Context) error { return f.finishReplacement(m, 0) },
 	}
 }
 
-// crashInstance ends an instance without a word; a new one takes its address while
-// the store still lists the old one.
+// crashInstance ends an instance without notice; a new one takes its address while the
+// store still lists the old one.
 func crashInstance(random *rand.Rand, f *fleet) fault {
-	m := oneOf(random, f)
+	m := randomMachine(random, f)
 	return fault{
 		name: "crash an instance", machines: []int{m.number},
 		begin: func(context.Context) error { m.replacing.Lock(); m.current().Close(); return nil },
@@ -164,18 +166,18 @@
 	}
 }
 
-// spoilAnswers has an instance lose, cut or mix up some of its answers.
-func spoilAnswers(random *rand.Rand, f *fleet) fault {
+// corruptResponses makes an instance drop, truncate or mix up one in four of its responses.
+func corruptResponses(random *rand.Rand, f *fleet) fault {
 	kinds := []instance.Fault{
 		instance.Lost, instance.LostReset, instance.Cut, instance.Unframed, instance.UnframedReset, instance.Extra,
 		instance.Late, instance.Garbage, instance.NoStamp, instance.Reject, instance.OtherInstance, instance.Fails,
 		instance.CloseAfter,
 	}
 	const oneIn = 4
-	m, seed := oneOf(random, f), random.IntN(oneIn)
+	m, seed := randomMachine(random, f), random.IntN(oneIn)
 	chosen := kinds[random.IntN(len(kinds))]
 	return fault{
-		name: "spoil answers, way " + strconv.Itoa(int(chosen)), machines: []int{m.number},
+		name: "corrupt responses, instance fault " + strconv.Itoa(int(chosen)), machines: []int{m.number},
 		begin: func(context.Context) error {
 			m.current().SetPlan(func(id string) instance.Fault {
 				if len(id) > 0 && (int(id[len(id)-1])+seed)%oneIn == 0 {
@@ -189,8 +191,8 @@
 	}
 }
 
-// rejectAcross has all instances of a service reject a part of what they get.
-func rejectAcross(random *rand.Rand, f *fleet) fault {
+// rejectAtAllInstances makes all instances of a service reject 11 of 20 requests.
+func rejectAtAllInstances(random *rand.Rand, f *fleet) fault {
 	const rejected, of = 11, 20
 	service := []string{serviceRead, serviceWrite}[random.IntN(2)]
 	var numbers []int
@@ -206,7 +208,7 @@
 		}
 	}
 	return fault{
-		name: "rejections of all " + service, machines: numbers,
+		name: "requests rejected by all instances of " + service, machines: numbers,
 		begin: set(func(string) instance.Fault {
 			if count.Add(1)*7%of < rejected {
 				return instance.Reject
@@ -218,14 +220,14 @@
 }
 
 func forgetConnections(random *rand.Rand, f *fleet) fault {
-	m := oneOf(random, f)
+	m := randomMachine(random, f)
 	forget := func(context.Context) error { m.current().ForgetConnections(); return nil }
 	return fault{name: "forget connections", machines: []int{m.number}, begin: forget, undo: forget}
 }
 
-// hangInstance has an instance begin requests and never answer.
+// hangInstance makes an instance accept requests and never respond.
 func hangInstance(random *rand.Rand, f *fleet) fault {
-	m := oneOf(random, f)
+	m := randomMachine(random, f)
 	return fault{
 		name: "hang", machines: []int{m.number},
 		begin: func(context.Context) error {
@@ -236,23 +238,25 @@
 	}
 }
 
-// hopFault is a fault between nodes: on the way of requests to one of them.
-func hopFault(name string, on faultproxy.Fault) chooser {
+// linkFault injects a proxy fault into the data link of a machine, over which other nodes
+// send it requests.
+func linkFault(name string, injected faultproxy.Fault) faultGenerator {
 	return func(random *rand.Rand, f *fleet) fault {
-		m := oneOf(random, f)
+		m := randomMachine(random, f)
 		return fault{
-			name: "between nodes: " + name, machines: []int{m.number}, struck: []int{m.number},
-			begin: func(context.Context) error { return m.data.Inject(on) },
+			name: "between nodes: " + name, machines: []int{m.number}, impaired: []int{m.number},
+			begin: func(context.Context) error { return m.data.Inject(injected) },
 			undo:  func(ctx context.Context) error { return m.data.heal(ctx) },
 		}
 	}
 }
 
-// cutFromPeers stalls all links that others made to some nodes, not to the store.
+// cutFromPeers stalls all peer links that other nodes opened to some nodes; their access to
+// the store stays.
 func cutFromPeers(random *rand.Rand, f *fleet) fault {
-	numbers := someOf(random, f, 1+random.IntN(len(f.machines)/2))
+	numbers := randomMachines(random, f, 1+random.IntN(len(f.machines)/2))
 	return fault{
-		name: "cut from peers", machines: numbers, struck: numbers,
+		name: "stalled links from peers", machines: numbers, impaired: numbers,
 		begin: func(context.Context) error {
 			return f.forAll(numbers, func(m *machine) error {
 				for _, way := range bothWays {
@@ -269,7 +273,7 @@
 	}
 }
 
-// overlaps reports whether two faults concern a machine in common.
+// overlaps reports whether two faults affect a machine in common.
 func (f fault) overlaps(other fault) bool {
 	return slices.ContainsFunc(f.machines, func(number int) bool { return slices.Contains(other.machines, number) })
 }
--- a/internal/bench/storesoak/fleet.go
+++ b/internal/bench/storesoak/fleet.go
@@ -23,30 +23,30 @@
 	drainGrace    = 6 * time.Second
 )
 
-// fleet is the machines with what surrounds them.
+// fleet holds the machines with the emulated store, the configuration and the recorded logs.
 type fleet struct {
-	store    *store.Store
-	machines []*machine
-	ports    ports
-	hosts    hosts
-	catalog  *catalog
-	logs     *nodeLogs
-	work     func(id string, gone <-chan struct{})
-	inner    *innerCalls
-	endings  endings
-	backups  backups
+	store       *store.Store
+	machines    []*machine
+	ports       ports
+	hosts       hosts
+	catalog     *catalog
+	logs        *nodeLogs
+	work        func(id string, gone <-chan struct{})
+	nested      *nestedCalls
+	withdrawals withdrawals
+	backups     backups
 }
 
-// ports are alike on all machines. The last two are where what comes for inbound and peers
-// passes a Silencer.
-type ports struct{ outbound, inbound, peers, application, ready, silencedInbound, silencedPeers int }
+// ports are the same on all machines. The last two belong to the Silencers in front of the
+// inbound and peer listeners.
+type ports struct{ outbound, inbound, peers, application, ready, inboundSilencer, peersSilencer int }
 
-// newPorts chooses all of them at once: a port that the system chooses for one later may be
-// another one's of the same machine, whose node then cannot start.
+// newPorts picks all ports at once. A port that the system picked separately could already
+// be another one's on the same machine, whose node could then not start.
 func newPorts() (chosen ports, err error) {
 	wanted := []*int{
 		&chosen.outbound, &chosen.inbound, &chosen.peers, &chosen.application, &chosen.ready,
-		&chosen.silencedInbound, &chosen.silencedPeers,
+		&chosen.inboundSilencer, &chosen.peersSilencer,
 	}
 	free, err := faultproxy.FreePorts("127.0.0.1", len(wanted))
 	if err != nil {
@@ -58,48 +58,48 @@
 	return chosen, nil
 }
 
-// machine is one node process and the instance beside it.
+// machine is one node process, the sidecar, with its instance.
 type machine struct {
 	number        int
 	zone, service string
-	// callers is where callers reach the node, ready where it tells its readiness.
+	// callers is the address for callers, ready that of the readiness endpoint.
 	callers, ready string
 	process        *process.Process
-	// lastLine returns what the node wrote last.
+	// lastLine returns the last line that the node logged.
 	lastLine    func() string
-	data, peers *hop
-	gate        *gate
-	// life counts the runs of the process.
-	life atomic.Int64
+	data, peers *linkProxy
+	storeProxy  *storeProxy
+	// incarnation counts the starts of the process.
+	incarnation atomic.Int64
 
-	// replacing is held while the instance leaves and another one takes its place.
+	// replacing is held while the instance is being replaced.
 	replacing sync.Mutex
 
 	mutex    sync.Mutex
 	instance *instance.Instance
-	former   []*instance.Instance
-	// born is when the instance started last.
-	born time.Time
+	replaced []*instance.Instance
+	// startedAt is the last start of the instance.
+	startedAt time.Time
 }
 
-// startFleet starts everything and returns once all nodes are ready.
+// startFleet starts the store and all machines and returns once all nodes are ready.
 func startFleet(ctx context.Context, options Options) (*fleet, error) {
 	places, err := placements(options.Machines, options.Zones)
 	if err != nil {
 		return nil, err
 	}
 	f := &fleet{
-		store: store.New(), catalog: newCatalog(), logs: newNodeLogs(options.Logs), work: work, inner: newInnerCalls(), hosts: newHosts(),
+		store: store.New(), catalog: newCatalog(), logs: newNodeLogs(options.Logs), work: work, nested: newNestedCalls(), hosts: newHosts(),
 	}
 	if f.ports, err = newPorts(); err != nil {
 		return nil, err
 	}
-	if options.Kinds == 0 || options.Kinds > kindsWithoutRestores {
+	if options.Kinds == 0 || options.Kinds > kindsBeforeRestores {
 		f.store.SetEra(1)
 	}
-	const startsWith = 3 // a third of the most
-	f.catalog.namesCold = options.Kinds == 0 || options.Kinds > kindsWithoutCold
-	f.catalog.begin(options.Routes/startsWith, f.writeConfiguration)
+	const initialShare = 3 // one in three routes exists from the start
+	f.catalog.declaresColdStart = options.Kinds == 0 || options.Kinds > kindsBeforeColdStart
+	f.catalog.writeFirst(options.Routes/initialShare, f.writeConfiguration)
 	if err := f.startMachines(ctx, options, places); err != nil {
 		f.close()
 		return nil, err
@@ -107,7 +107,7 @@
 	return f, nil
 }
 
-// startMachines starts a machine at each place and waits until their nodes are ready.
+// startMachines starts a machine for each place and waits until all nodes are ready.
 func (f *fleet) startMachines(ctx context.Context, options Options, places []place) error {
 	links := newLinkRates(options)
 	for number, place := range places {
@@ -135,28 +135,29 @@
 	return snapshot.NewRevision(era, f.store.PutJSON(store.KeyConfiguration, written))
 }
 
-// newMachine makes a machine whose links carry so many bytes a second; zero: any.
+// newMachine creates a machine with its instance; rate limits its links in bytes per second,
+// zero: no limit.
 func (f *fleet) newMachine(number int, at place, binary string, rate int64) (*machine, error) {
-	own, reached := f.hosts.of(number)
+	listen, proxied := f.hosts.of(number)
 	m := &machine{
-		number: number, zone: at.zone, service: at.service, gate: newGate(f.store, rate),
-		callers: fmt.Sprintf("%s:%d", own, f.ports.outbound), ready: fmt.Sprintf("%s:%d", own, f.ports.ready),
+		number: number, zone: at.zone, service: at.service, storeProxy: newStoreProxy(f.store, rate),
+		callers: fmt.Sprintf("%s:%d", listen, f.ports.outbound), ready: fmt.Sprintf("%s:%d", listen, f.ports.ready),
 	}
-	inbound, peers := fmt.Sprintf("%s:%d", own, f.ports.inbound), fmt.Sprintf("%s:%d", own, f.ports.peers)
-	silencedInbound, silencedPeers := fmt.Sprintf("%s:%d", own, f.ports.silencedInbound), fmt.Sprintf("%s:%d", own, f.ports.silencedPeers)
-	reachedPeers := fmt.Sprintf("%s:%d", reached, f.ports.peers)
-	application := fmt.Sprintf("%s:%d", reached, f.ports.application)
+	inbound, peers := fmt.Sprintf("%s:%d", listen, f.ports.inbound), fmt.Sprintf("%s:%d", listen, f.ports.peers)
+	inboundSilencer, peersSilencer := fmt.Sprintf("%s:%d", listen, f.ports.inboundSilencer), fmt.Sprintf("%s:%d", listen, f.ports.peersSilencer)
+	proxiedPeers := fmt.Sprintf("%s:%d", proxied, f.ports.peers)
+	application := fmt.Sprintf("%s:%d", proxied, f.ports.application)
 	var err error
-	if m.data, err = newHop(fmt.Sprint("data-", number), fmt.Sprintf("%s:%d", reached, f.ports.inbound), silencedInbound, inbound, rate); err != nil {
+	if m.data, err = newLinkProxy(fmt.Sprint("data-", number), fmt.Sprintf("%s:%d", proxied, f.ports.inbound), inboundSilencer, inbound, rate); err != nil {
 		return nil, err
 	}
-	if m.peers, err = newHop(fmt.Sprint("peers-", number), reachedPeers, silencedPeers, peers, rate); err != nil {
+	if m.peers, err = newLinkProxy(fmt.Sprint("peers-", number), proxiedPeers, peersSilencer, peers, rate); err != nil {
 		return nil, err
 	}
 	m.process = process.New(binary, []string{
-		"node", "--node.name=" + reached, "--node.region=region", "--node.zone=" + at.zone,
-		"--platform.kind=store", "--platform.url=" + m.gate.url(), "--platform.timeout=1500ms",
-		"--peers.listen=" + peers, "--peers.advertise=" + reachedPeers, "--peers.readers_per_zone=1",
+		"node", "--node.name=" + proxied, "--node.region=region", "--node.zone=" + at.zone,
+		"--platform.kind=store", "--platform.url=" + m.storeProxy.url(), "--platform.timeout=1500ms",
+		"--peers.listen=" + peers, "--peers.advertise=" + proxiedPeers, "--peers.readers_per_zone=1",
 		"--outbound.listen=" + m.callers, "--inbound.listen=" + inbound, "--inbound.service=" + at.service,
 		"--inbound.backend=" + application, "--inbound.drain_grace=" + drainGrace.String(), "--inbound.repeat_replicas=0",
 		"--admin.listen=" + m.ready, "--log.format=json",
@@ -165,46 +166,46 @@
 	return m, f.newInstance(m, application, 0)
 }
 
-// newInstance starts an instance at the machine's address, which must be free, and
-// lists it. It is cold for so long.
+// newInstance starts an instance at an address of the machine, which must be free, and
+// registers it in the store. The instance is cold for coldFor.
 func (f *fleet) newInstance(m *machine, application string, coldFor time.Duration) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	created := &instance.Instance{
-		Name: fmt.Sprintf("i-%d-%d", m.number, len(m.former)), Address: application, Work: f.work,
+		Name: fmt.Sprintf("i-%d-%d", m.number, len(m.replaced)), Address: application, Work: f.work,
 	}
-	f.inner.attach(created, m, f.work)
-	f.crashable(created, m)
+	f.nested.attach(created, m, f.work)
+	f.enableCrashes(created, m)
 	if _, err := created.Start(); err != nil {
 		return eris.Wrap(err, "start an instance")
 	}
 	if m.instance != nil {
-		m.former = append(m.former, m.instance)
-		created.Name = fmt.Sprintf("i-%d-%d", m.number, len(m.former))
+		m.replaced = append(m.replaced, m.instance)
+		created.Name = fmt.Sprintf("i-%d-%d", m.number, len(m.replaced))
 	}
 	m.instance = created
-	m.born = time.Now()
+	m.startedAt = time.Now()
 	if coldFor > 0 {
-		created.SetMostPerSecond(coldMost)
+		created.SetMostPerSecond(coldOverloadPerSecond)
 		time.AfterFunc(coldFor, func() { created.SetMostPerSecond(0) })
 	}
-	f.listFor(m, store.StateReady, coldFor)
+	f.register(m, store.StateReady, coldFor)
 	return nil
 }
 
-// drain has a machine's instance say that it leaves.
+// drain announces that a machine's instance is draining.
 func (f *fleet) drain(m *machine) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	f.listFor(m, store.StateDraining, 0)
-	f.endings.note("said that it leaves", m.instance.Name, m.zone)
+	f.register(m, store.StateDraining, 0)
+	f.withdrawals.add("announced that it drains", m.instance.Name, m.zone)
 }
 
-// listFor writes the entry of a machine's instance, which stays cold for so long. The mutex of
-// the machine is held.
-func (f *fleet) listFor(m *machine, state string, coldFor time.Duration) {
+// register writes the store entry of a machine's instance, which stays cold for coldFor.
+// Callers hold the machine's mutex.
+func (f *fleet) register(m *machine, state string, coldFor time.Duration) {
 	f.store.PutJSON(store.KeyInstances+m.instance.Name, store.Entry{
-		Born:    m.born.UnixMilli(),
+		Born:    m.startedAt.UnixMilli(),
 		Address: m.instance.Address,
 		Info:    store.EntryInfo{Service: m.service, Zone: m.zone, Slots: instanceSlots},
 		Status:  store.EntryStatus{State: state, Sequence: 1, ColdRemainingMs: coldFor.Milliseconds()},
@@ -217,25 +218,25 @@
 	return m.instance
 }
 
-// instances returns all that ever ran on the machine.
+// instances returns the current instance and those that it replaced.
 func (m *machine) instances() []*instance.Instance {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return append([]*instance.Instance{m.instance}, m.former...)
+	return append([]*instance.Instance{m.instance}, m.replaced...)
 }
 
-// start runs the node once more.
+// start starts a new process of the node.
 func (m *machine) start() error {
-	m.life.Add(1)
+	m.incarnation.Add(1)
 	return m.process.Start()
 }
 
-// awaitReady returns once a node is ready.
+// awaitReady waits until the node is ready.
 func (m *machine) awaitReady(ctx context.Context) error {
 	const interval = 50 * time.Millisecond
 	for !isReady(ctx, m.ready) {
 		if err := wait.For(ctx, interval); err != nil {
-			return eris.Wrapf(err, "machine %d does not become ready; its last line: %s", m.number, m.lastLine())
+			return eris.Wrapf(err, "machine %d did not become ready; its last log line: %s", m.number, m.lastLine())
 		}
 	}
 	return nil
@@ -256,7 +257,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// close ends all processes, proxies and instances.
+// close kills all node processes and closes all proxies and instances.
 func (f *fleet) close() {
 	for _, m := range f.machines {
 		_ = m.process.Resume()
@@ -265,7 +266,7 @@
 	for _, m := range f.machines {
 		m.data.close()
 		m.peers.close()
-		m.gate.server.Close()
+		m.storeProxy.server.Close()
 		m.current().Close()
 	}
 }
--- a/internal/bench/storesoak/links.go
+++ b/internal/bench/storesoak/links.go
@@ -7,40 +7,42 @@
 	"github.com/winchhead/winchhead/internal/bench/faultproxy"
 )
 
-// bytesPerMegabit turns Mbit/s to bytes a second.
+// bytesPerMegabit converts Mbit/s to bytes per second.
 const bytesPerMegabit = 1e6 / 8
 
-// linkFactors are the rates of links, as multiples of the slowest: those of small
-// machines to large ones.
+// linkFactors are the possible link rates as multiples of the slowest, for small to large
+// machines.
 var linkFactors = []float64{1, 1, 2, 5, 10, 20}
 
-// linkRates draws the rates of machines' links.
+// linkRates draws the link rates of machines.
 type linkRates struct {
 	random  *rand.Rand
-	slowest float64 // Mbit/s; zero: links have no rate
+	slowest float64 // Mbit/s; zero: no limit
 }
 
 func newLinkRates(options Options) *linkRates {
-	const stream = 2 // apart from the draws of faults and calls
+	const stream = 2 // independent of the draws of faults and calls
 	return &linkRates{random: rand.New(rand.NewPCG(options.Seed, options.Seed+stream)), slowest: options.SlowestLink}
 }
 
-// draw returns a rate in bytes a second; zero: any.
+// draw returns a rate in bytes per second; zero: no limit.
 func (l *linkRates) draw() int64 {
 	factor := linkFactors[l.random.IntN(len(linkFactors))]
 	return int64(l.slowest * factor * bytesPerMegabit)
 }
 
-// hop is a fault proxy on a link of some rate, whose open connections can fall silent.
-type hop struct {
+// linkProxy is a fault proxy on a link with a rate limit. Its silencer can make all open
+// connections fall silent.
+type linkProxy struct {
 	*faultproxy.Proxy
 	silencer *faultproxy.Silencer
 	rate     int64
 }
 
-// newHop starts a hop at listen that passes what comes on by way of silenced.
-func newHop(name, listen, silenced, upstream string, rate int64) (*hop, error) {
-	silencer, err := faultproxy.NewSilencer(silenced, upstream, nil)
+// newLinkProxy starts a proxy at listen that forwards to upstream through a silencer at
+// silencerListen.
+func newLinkProxy(name, listen, silencerListen, upstream string, rate int64) (*linkProxy, error) {
+	silencer, err := faultproxy.NewSilencer(silencerListen, upstream, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -49,33 +51,33 @@
 		silencer.Close()
 		return nil, err
 	}
-	made := &hop{Proxy: proxy, silencer: silencer, rate: rate}
-	return made, made.pace()
+	created := &linkProxy{Proxy: proxy, silencer: silencer, rate: rate}
+	return created, created.limitRate()
 }
 
 var bothWays = []faultproxy.Direction{faultproxy.TowardsServer, faultproxy.TowardsClient}
 
-// pace bounds each connection to the rate.
-func (h *hop) pace() error {
-	if h.rate == 0 {
+// limitRate limits each connection to the rate.
+func (l *linkProxy) limitRate() error {
+	if l.rate == 0 {
 		return nil
 	}
 	for _, way := range bothWays {
-		if err := h.Inject(faultproxy.Fault{Kind: faultproxy.Throttle, Direction: way, BytesPerSecond: h.rate}); err != nil {
+		if err := l.Inject(faultproxy.Fault{Kind: faultproxy.Throttle, Direction: way, BytesPerSecond: l.rate}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// heal removes all faults; the link keeps its rate.
-func (h *hop) heal(ctx context.Context) error {
-	h.Heal(ctx)
-	return h.pace()
+// heal removes all faults but the rate limit.
+func (l *linkProxy) heal(ctx context.Context) error {
+	l.Heal(ctx)
+	return l.limitRate()
 }
 
-// close ends the hop and its connections.
-func (h *hop) close() {
-	h.Close()
-	h.silencer.Close()
+// close closes the proxy and its connections.
+func (l *linkProxy) close() {
+	l.Close()
+	l.silencer.Close()
 }
--- a/internal/bench/storesoak/nodelog.go
+++ b/internal/bench/storesoak/nodelog.go
@@ -14,19 +14,19 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// Texts of the lines about who reads the store, as package distribution writes them.
+// Messages of package distribution about which nodes read the store.
 const (
-	messageReads  = "reads the source"
-	messageLeaves = "leaves the source to others"
+	messageStartsReading = "reads the source"
+	messageStopsReading  = "leaves the source to others"
 )
 
-// noteworthy are parts of the lines that tell what a node did about a change.
-var noteworthy = []string{
+// relevantParts are substrings of the log lines that show how a node handled a change.
+var relevantParts = []string{
 	convergence.MessageInForce, convergence.MessageStarted, "the source", "slept", "closed the link", "refused",
 	"is stale", "awaited", "no longer has the history", "is dropped", "stopping", "last good one", "read from the store", "read of the store", "store answers again",
 }
 
-// logLine is one line of a node as far as it has a fixed form.
+// logLine is one log line of a node with the fields that all lines share.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -34,21 +34,21 @@
 	raw     string
 }
 
-// revision is that of the version that the line names.
+// revision returns the revision in the version field; zero if there is none.
 func (l logLine) revision() snapshot.Revision {
 	number, _, _ := strings.Cut(l.Version, "/")
 	revision, err := snapshot.ParseRevision(number)
 	if err != nil {
-		return 0 // the line names none
+		return 0 // the line has no version
 	}
 	return revision
 }
 
-// nodeLogs keeps what the nodes log about the configuration. It is safe for concurrent use.
+// nodeLogs keeps the nodes' log lines about the configuration. It is safe for concurrent use.
 type nodeLogs struct {
 	mutex sync.Mutex
 	lines map[int][]logLine
-	last  map[int]string // of each machine, whatever it is
+	last  map[int]string // last line of each machine, relevant or not
 	all   io.Writer
 }
 
@@ -56,54 +56,54 @@
 	return &nodeLogs{lines: make(map[int][]logLine), last: make(map[int]string), all: all}
 }
 
-// of returns where the node of a machine logs to.
+// of returns the writer for the output of a machine's node.
 func (l *nodeLogs) of(machine int) io.Writer { return &nodeLog{logs: l, machine: machine} }
 
-// nodeLog cuts the output of one node into lines.
+// nodeLog splits the output of one node into lines.
 type nodeLog struct {
 	logs    *nodeLogs
 	machine int
-	rest    []byte
+	partial []byte
 }
 
 // Write implements io.Writer; it never fails.
 func (n *nodeLog) Write(output []byte) (int, error) {
-	n.rest = append(n.rest, output...)
+	n.partial = append(n.partial, output...)
 	for {
-		end := bytes.IndexByte(n.rest, '\n')
+		end := bytes.IndexByte(n.partial, '\n')
 		if end < 0 {
 			return len(output), nil
 		}
-		n.logs.take(n.machine, string(n.rest[:end]))
-		n.rest = n.rest[end+1:]
+		n.logs.addLine(n.machine, string(n.partial[:end]))
+		n.partial = n.partial[end+1:]
 	}
 }
 
-func (l *nodeLogs) take(machine int, text string) {
+func (l *nodeLogs) addLine(machine int, text string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.all != nil {
 		_, _ = io.WriteString(l.all, strconv.Itoa(machine)+" "+text+"\n")
 	}
 	l.last[machine] = text
-	if !slices.ContainsFunc(noteworthy, func(part string) bool { return strings.Contains(text, part) }) {
+	if !slices.ContainsFunc(relevantParts, func(part string) bool { return strings.Contains(text, part) }) {
 		return
 	}
 	read := logLine{raw: text}
 	if json.Unmarshal([]byte(text), &read) != nil {
-		return // not a line of the log, such as the text of a panic, which all has
+		return // not a log line but, for example, the output of a panic; it was written to all
 	}
 	l.lines[machine] = append(l.lines[machine], read)
 }
 
-// lastOf returns what the node of a machine wrote last.
+// lastOf returns the last line that a machine's node wrote.
 func (l *nodeLogs) lastOf(machine int) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.last[machine]
 }
 
-// readers returns the machines whose nodes read the store now, in their order.
+// readers returns the machines whose nodes currently read the store, in ascending order.
 func (l *nodeLogs) readers() (found []int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -111,9 +111,9 @@
 		reads := false
 		for _, each := range lines {
 			switch {
-			case strings.HasSuffix(each.Message, messageReads):
+			case strings.HasSuffix(each.Message, messageStartsReading):
 				reads = true
-			case strings.HasSuffix(each.Message, messageLeaves), strings.HasSuffix(each.Message, convergence.MessageStarted):
+			case strings.HasSuffix(each.Message, messageStopsReading), strings.HasSuffix(each.Message, convergence.MessageStarted):
 				reads = false
 			}
 		}
@@ -125,8 +125,8 @@
 	return found
 }
 
-// inForce returns when a revision, or a later one, came into force at a machine after a
-// moment.
+// inForce returns when a revision, or a later one, first came into force at a machine, at or
+// after the given time.
 func (l *nodeLogs) inForce(machine int, revision snapshot.Revision, after time.Time) (time.Time, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -138,7 +138,7 @@
 	return time.Time{}, false
 }
 
-// between returns the lines of a machine in a time.
+// between returns the kept lines of a machine with times between from and to.
 func (l *nodeLogs) between(machine int, from, to time.Time) (found []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/bench/storesoak/restore.go
+++ b/internal/bench/storesoak/restore.go
@@ -10,19 +10,22 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// kindsWithoutRestores is how many kinds of faults there were before restoreStore.
-const kindsWithoutRestores = 22
+// kindsBeforeRestores is how many kinds of faults precede restoreStore. Regressions with at
+// most that many run with a store without eras, as they did when they were recorded.
+const kindsBeforeRestores = 22
 
 const (
 	// backupInterval is the time between backups of the store.
 	backupInterval = 250 * time.Millisecond
-	// oldestBackup and youngestBackup bound the age of the one that the store is restored from.
+	// oldestBackup and youngestBackup bound the age of the backup that the store is restored
+	// from.
 	oldestBackup, youngestBackup = 8 * time.Second, 500 * time.Millisecond
-	// longestRewrite bounds how long operators and instances take to write again what was lost.
+	// longestRewrite bounds how long operators and instances take to write the lost entries
+	// again.
 	longestRewrite = 1500 * time.Millisecond
 )
 
-// backups keeps the last ones of the store. It is safe for concurrent use.
+// backups keeps the latest backups of the store. It is safe for concurrent use.
 type backups struct {
 	mutex sync.Mutex
 	kept  []timedBackup
@@ -33,7 +36,7 @@
 	backup store.Backup
 }
 
-// run makes backups until the context ends.
+// run makes a backup every backupInterval until the context ends.
 func (b *backups) run(ctx context.Context, emulated *store.Store) {
 	for wait.For(ctx, backupInterval) == nil {
 		b.mutex.Lock()
@@ -45,7 +48,8 @@
 	}
 }
 
-// ofAge returns the youngest backup of an age, or the oldest there is; false: there is none.
+// ofAge returns the newest backup that has at least the given age, or else the oldest one;
+// false if there is none.
 func (b *backups) ofAge(age time.Duration) (store.Backup, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -60,15 +64,15 @@
 	return b.kept[0].backup, true
 }
 
-// restoreStore has the store be away and come back from a backup. Operators and instances write
-// again what they had written since, one entry after the other.
+// restoreStore makes the store unavailable and restores it from a backup. Operators and
+// instances then write the lost entries again, one after the other.
 func restoreStore(random *rand.Rand, f *fleet) fault {
-	made := storeDown(random, f)
-	made.name, made.source = "store restored; "+made.name, sourceRestored
+	outage := storeDown(random, f)
+	outage.name, outage.storeState = "store restored; "+outage.name, storeRestored
 	age := youngestBackup + time.Duration(random.Int64N(int64(oldestBackup-youngestBackup)))
 	rewrite := time.Duration(random.Int64N(int64(longestRewrite)))
-	open := made.undo
-	made.undo = func(ctx context.Context) error {
+	open := outage.undo
+	outage.undo = func(ctx context.Context) error {
 		backup, found := f.backups.ofAge(age)
 		if !found {
 			return open(ctx)
@@ -86,5 +90,5 @@
 		}
 		return nil
 	}
-	return made
+	return outage
 }
--- a/internal/bench/storesoak/silence.go
+++ b/internal/bench/storesoak/silence.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// silenceFoundIn is the users' bound for nodes to find idle connections that fell silent.
-const silenceFoundIn = 3 * time.Second
+// silenceDetectionTime is the time within which users require nodes to detect idle connections
+// that fell silent.
+const silenceDetectionTime = 3 * time.Second
 
-// silenceConnections lets all connections that others hold to some nodes fall silent, without
-// a reset; later ones work.
+// silenceConnections makes all open connections from others to some nodes fall silent without
+// a reset; new connections work.
 func silenceConnections(random *rand.Rand, f *fleet) fault {
-	numbers := someOf(random, f, 1+random.IntN(len(f.machines)/2))
+	numbers := randomMachines(random, f, 1+random.IntN(len(f.machines)/2))
 	return fault{
-		name: "connections fall silent", machines: numbers, struck: numbers, lasting: silenceFoundIn,
+		name: "connections fall silent", machines: numbers, impaired: numbers, duration: silenceDetectionTime,
 		begin: func(context.Context) error {
 			return f.forAll(numbers, func(m *machine) error {
 				m.data.silencer.FallSilent()
--- a/internal/bench/storesoak/soak.go
+++ b/internal/bench/storesoak/soak.go
@@ -1,7 +1,7 @@
-// Package storesoak runs a fleet of real node processes on an emulated key-value
-// store, with emulated instances and proxies between the nodes, under load and random
-// faults that are caused from outside the processes. It judges the promises by what
-// callers and instances saw. The same seed gives the same faults in the same order.
+// Package storesoak runs a fleet of real node processes on an emulated key-value store, with
+// emulated instances and proxies between the nodes, under load and random faults that are
+// injected from outside the processes. It checks the guarantees of the software against what
+// callers and instances recorded. The same seed gives the same faults in the same order.
 package storesoak
 
 import (
@@ -14,55 +14,55 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// Options set up a soak.
+// Options configures a soak.
 type Options struct {
 	// Binary is the winchhead binary.
 	Binary string
 	Seed   uint64
 	// Machines and Zones are the size of the fleet.
 	Machines, Zones int
-	// Routes is how many routes changes add at most, in all; a third of them is there from
-	// the start.
+	// Routes is how many routes can be added in total; a third of them exists from the start.
 	Routes int
-	// SlowestLink is the rate of the slowest machines' links in Mbit/s; zero: links have no
-	// rate.
+	// SlowestLink is the rate of the slowest machines' links in Mbit/s; zero: no limit.
 	SlowestLink float64
-	// Busy is how many processes use processors beside the fleet.
+	// Busy is how many further processes each keep one CPU busy.
 	Busy int
-	// Faults is how many faults are caused.
+	// Faults is how many faults are injected.
 	Faults int
-	// Rate is the calls a second.
+	// Rate is the average number of calls per second.
 	Rate float64
-	// CrashRate is how many calls a second crash the instances that run them; zero: none.
+	// CrashRate is how many calls per second crash the instances that run them; zero: none.
 	CrashRate float64
-	// LeaveRate is how many instances a second say that they leave and are replaced, beside
-	// the faults; changes then come in quick succession. Zero: none.
+	// LeaveRate is how many instances per second are drained and replaced in addition to the
+	// faults; configuration changes then come in quick succession. Zero: none.
 	LeaveRate float64
-	// RestoreShare of the faults are restores of the store from a backup; the others are drawn.
+	// RestoreShare is the share of faults that restore the store from a backup; the others are
+	// drawn from all kinds.
 	RestoreShare float64
-	// Progress takes one line a fault, Logs what the nodes log; nil drops them.
+	// Progress gets one line for each fault and violation, Logs the nodes' output; nil discards
+	// them.
 	Progress, Logs io.Writer
-	// Kinds is how many kinds of faults are drawn from; zero: all. Later kinds come behind
-	// earlier ones, so that a soak of the past plays as it did.
+	// Kinds limits the faults to the first kinds; zero: all. New kinds are added at the end, so
+	// that a recorded soak replays the same faults.
 	Kinds int
 }
 
-// Times of a soak.
+// Durations of a soak.
 const (
 	startTimeout                = 30 * time.Second
 	healTimeout                 = 30 * time.Second
 	shortestFault, longestFault = 400 * time.Millisecond, 3 * time.Second
-	shortestCalm, longestCalm   = 200 * time.Millisecond, 1500 * time.Millisecond
-	// shortestGap and longestGap lie between changes in quick succession.
+	shortestPause, longestPause = 200 * time.Millisecond, 1500 * time.Millisecond
+	// shortestGap and longestGap bound the time between changes in quick succession.
 	shortestGap, longestGap = 80 * time.Millisecond, 300 * time.Millisecond
-	// finalCalm is how long calls go on after the last fault; those of its second
-	// half must be served.
-	finalCalm = 6 * time.Second
-	// shortestWork and longestWork bound how long an instance works on a request.
+	// recoveryTime is how long calls continue after the last fault; those of its second half
+	// must be served.
+	recoveryTime = 6 * time.Second
+	// shortestWork and longestWork bound how long an instance takes for a request.
 	shortestWork, longestWork = 2 * time.Millisecond, 40 * time.Millisecond
 )
 
-// soak is one run.
+// soak is one soak in progress.
 type soak struct {
 	options Options
 	fleet   *fleet
@@ -72,10 +72,10 @@
 	report  Report
 }
 
-// Run soaks a fleet. The error tells that the soak could not be run; broken promises
-// are in the report.
+// Run runs a soak. It returns an error if the soak could not be run; violated guarantees are in
+// the report.
 func Run(ctx context.Context, options Options) (Report, error) {
-	stopBusy, err := startBusy(ctx, options.Busy)
+	stopBusy, err := startCPULoad(ctx, options.Busy)
 	if err != nil {
 		return Report{}, err
 	}
@@ -92,12 +92,12 @@
 		options: options, fleet: running, random: rand.New(rand.NewPCG(options.Seed, options.Seed)),
 		callers: newCallers(running, options.Seed), report: Report{Seed: options.Seed, Broken: []string{}},
 	}
-	s.history.started(running, began)
+	s.history.recordStart(running, began)
 	err = s.run(ctx)
 	return s.report, err
 }
 
-// work takes a time that depends on the request, or until its sender leaves.
+// work blocks for a time that depends only on the request id, or until the sender disconnects.
 func work(id string, gone <-chan struct{}) {
 	span := longestWork - shortestWork
 	share := time.Duration(0)
@@ -115,130 +115,130 @@
 func (s *soak) run(ctx context.Context) error {
 	calling, stop := context.WithCancel(ctx)
 	defer stop()
-	ended := make(chan struct{})
+	callsEnded := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(callsEnded)
 		s.callers.run(calling, s.options.Rate)
 	}()
 	began := time.Now()
-	beside, stopBeside := context.WithCancel(calling)
-	defer stopBeside()
-	crashed := make(chan struct{})
+	background, stopBackground := context.WithCancel(calling)
+	defer stopBackground()
+	crashesEnded := make(chan struct{})
 	go func() {
-		defer close(crashed)
+		defer close(crashesEnded)
 		if s.options.CrashRate > 0 {
-			s.callers.runCrashing(beside, s.options.CrashRate, s.options.Seed)
+			s.callers.runCrashingCalls(background, s.options.CrashRate, s.options.Seed)
 		}
 	}()
-	left := make(chan struct{})
+	replacementsEnded := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(replacementsEnded)
 		if s.options.LeaveRate > 0 {
-			s.runLeaving(beside, s.options.LeaveRate)
+			s.replaceInstances(background, s.options.LeaveRate)
 		}
 	}()
-	go s.fleet.backups.run(beside, s.fleet.store)
-	err := s.disturb(ctx)
-	stopBeside()
-	<-crashed
-	<-left
+	go s.fleet.backups.run(background, s.fleet.store)
+	err := s.injectFaults(ctx)
+	stopBackground()
+	<-crashesEnded
+	<-replacementsEnded
 	if err == nil {
-		s.history.calmFrom = time.Now()
-		err = wait.For(ctx, finalCalm)
+		s.history.lastFaultEnded = time.Now()
+		err = wait.For(ctx, recoveryTime)
 	}
 	stop()
-	<-ended
+	<-callsEnded
 	s.report.Seconds = time.Since(began).Seconds()
 	if err != nil {
 		return err
 	}
-	s.judge()
+	s.check()
 	return nil
 }
 
-// disturb causes the faults one after the other, one in three with another at the
-// same time, and changes the configuration in between.
-func (s *soak) disturb(ctx context.Context) error {
+// injectFaults injects the faults one after the other, one in three together with a second one,
+// and changes the configuration during two of three.
+func (s *soak) injectFaults(ctx context.Context) error {
 	const oneIn = 3
 	for s.report.Faults < s.options.Faults {
-		current := []fault{s.choose()}
-		second, together := s.choose(), s.random.IntN(oneIn) == 0
+		current := []fault{s.drawFault()}
+		second, together := s.drawFault(), s.random.IntN(oneIn) == 0
 		if together && !second.overlaps(current[0]) {
 			current = append(current, second)
 		}
-		change := s.random.IntN(oneIn) > 0
-		if err := s.cause(ctx, current, change); err != nil {
+		withChanges := s.random.IntN(oneIn) > 0
+		if err := s.applyFaults(ctx, current, withChanges); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *soak) choose() fault {
+func (s *soak) drawFault() fault {
 	if s.options.RestoreShare > 0 && s.random.Float64() < s.options.RestoreShare {
 		return restoreStore(s.random, s.fleet)
 	}
-	kinds := len(choosers)
+	kinds := len(faultGenerators)
 	if s.options.Kinds > 0 {
 		kinds = s.options.Kinds
 	}
-	return choosers[s.random.IntN(kinds)](s.random, s.fleet)
+	return faultGenerators[s.random.IntN(kinds)](s.random, s.fleet)
 }
 
-// cause begins faults, lets them last and undoes them.
-func (s *soak) cause(ctx context.Context, faults []fault, change bool) error {
-	lasting, calm := s.between(shortestFault, longestFault), s.between(shortestCalm, longestCalm)
+// applyFaults begins faults, holds them for their duration and undoes them.
+func (s *soak) applyFaults(ctx context.Context, faults []fault, withChanges bool) error {
+	duration, pause := s.drawDuration(shortestFault, longestFault), s.drawDuration(shortestPause, longestPause)
 	for _, each := range faults {
-		lasting = max(lasting, each.lasting)
+		duration = max(duration, each.duration)
 	}
-	var spans []*span
+	var spans []*faultSpan
 	for _, each := range faults {
 		s.report.Faults++
-		s.progress("%s at %v for %d ms", each.name, each.machines, lasting.Milliseconds())
+		s.progress("%s at %v for %d ms", each.name, each.machines, duration.Milliseconds())
 		spans = append(spans, s.history.begin(each))
 		if err := each.begin(ctx); err != nil {
-			s.broken("%s could not be caused: %v", each.name, err)
+			s.violation("fault %s could not be injected: %v", each.name, err)
 		}
 	}
-	if err := s.last(ctx, lasting, change); err != nil {
+	if err := s.holdFaults(ctx, duration, withChanges); err != nil {
 		return err
 	}
 	for _, each := range faults {
 		undoing, cancel := context.WithTimeout(ctx, healTimeout)
 		if err := each.undo(undoing); err != nil {
-			s.broken("no return from %s: %v", each.name, err)
+			s.violation("fault %s could not be undone: %v", each.name, err)
 		}
 		cancel()
 	}
 	for _, each := range spans {
 		s.history.end(each)
 	}
-	return wait.For(ctx, calm)
+	return wait.For(ctx, pause)
 }
 
-// last lets faults last; changes come meanwhile, if they are asked for, one in three times
-// in quick succession.
-func (s *soak) last(ctx context.Context, lasting time.Duration, change bool) error {
+// holdFaults waits for the duration of faults. With withChanges it changes the configuration
+// meanwhile, one in three times in quick succession.
+func (s *soak) holdFaults(ctx context.Context, duration time.Duration, withChanges bool) error {
 	const oneIn = 3
-	end := time.Now().Add(lasting)
-	shortest, longest := shortestCalm, longestCalm
+	end := time.Now().Add(duration)
+	shortest, longest := shortestPause, longestPause
 	if s.random.IntN(oneIn) == 0 || s.options.LeaveRate > 0 {
 		shortest, longest = shortestGap, longestGap
 	}
-	for change && time.Now().Before(end) {
-		s.change()
-		if err := wait.For(ctx, min(s.between(shortest, longest), time.Until(end))); err != nil {
+	for withChanges && time.Now().Before(end) {
+		s.changeConfiguration()
+		if err := wait.For(ctx, min(s.drawDuration(shortest, longest), time.Until(end))); err != nil {
 			return err
 		}
 	}
 	return wait.For(ctx, time.Until(end))
 }
 
-// change writes the next configuration, and a good one after one that is not valid: the
-// platform takes none that is not for long.
-func (s *soak) change() {
+// changeConfiguration writes the next version, and further ones until a valid one was written:
+// the platform never keeps an invalid configuration for long.
+func (s *soak) changeConfiguration() {
 	for {
-		written := s.fleet.catalog.change(s.random, s.options.Routes, s.fleet.writeConfiguration)
+		written := s.fleet.catalog.writeRandom(s.random, s.options.Routes, s.fleet.writeConfiguration)
 		s.report.Changes++
 		if !written.invalid {
 			return
@@ -246,7 +246,7 @@
 	}
 }
 
-func (s *soak) between(shortest, longest time.Duration) time.Duration {
+func (s *soak) drawDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(s.random.Int64N(int64(longest-shortest)))
 }
 
@@ -256,7 +256,7 @@
 	}
 }
 
-func (s *soak) broken(format string, values ...any) {
+func (s *soak) violation(format string, values ...any) {
 	text := fmt.Sprintf(format, values...)
 	s.progress("BROKEN: %s", text)
 	s.report.Broken = append(s.report.Broken, text)
--- a/internal/bench/storesoak/storesoak_test.go
+++ b/internal/bench/storesoak/storesoak_test.go
@@ -11,26 +11,26 @@
 	"github.com/winchhead/winchhead/internal/bench/storesoak"
 )
 
-// TestPromisesHoldUnderFaults plays a short soak of real processes, and every one
-// that once broke a promise. Promises with a time bound are left to the command, as
-// the machine that runs the tests may be busy.
-func TestPromisesHoldUnderFaults(t *testing.T) {
+// TestGuaranteesHoldUnderFaults runs short soaks of real processes, and the small regressions.
+// Guarantees with a time bound are left to the command, as the machine that runs the tests may
+// be busy.
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	binary, remove, err := mesh.BuildBinary(context.Background())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(remove)
 	soaks := []storesoak.Regression{{
-		Seed: 1, Machines: storesoak.LeastMachines, Zones: 2, Routes: 20, Faults: 3, Rate: 60, Cause: "a short soak",
+		Seed: 1, Machines: storesoak.MinMachines, Zones: 2, Routes: 20, Faults: 3, Rate: 60, Cause: "a short soak",
 	}, {
-		Seed: 2, Machines: 12, Zones: 3, Routes: 1000, SlowestLink: 10, Faults: 8, Rate: 60, Cause: "large documents on slow links",
+		Seed: 2, Machines: 12, Zones: 3, Routes: 1000, SlowestLink: 10, Faults: 8, Rate: 60, Cause: "large configurations on slow links",
 	}, {
 		Seed: 3, Machines: 12, Zones: 3, Routes: 20, Faults: 5, Rate: 60, CrashRate: 6, Cause: "requests that crash instances",
 	}, {
-		Seed: 4, Machines: 12, Zones: 3, Routes: 1000, SlowestLink: 10, Faults: 4, Rate: 100, LeaveRate: 1.5, Cause: "instances that leave beside large configurations",
+		Seed: 4, Machines: 12, Zones: 3, Routes: 1000, SlowestLink: 10, Faults: 4, Rate: 100, LeaveRate: 1.5, Cause: "instances that are replaced during large configuration changes",
 	}, {
-		Seed: 5, Machines: 12, Zones: 3, Routes: 200, Faults: 5, Rate: 100, LeaveRate: 1, RestoreShare: 0.6, Cause: "a store that is restored from a copy",
+		Seed: 5, Machines: 12, Zones: 3, Routes: 200, Faults: 5, Rate: 100, LeaveRate: 1, RestoreShare: 0.6, Cause: "a store that is restored from a backup",
 	}}
 	for _, each := range storesoak.Regressions {
-		if each.Machines == storesoak.LeastMachines { // the command plays the larger ones
+		if each.Machines == storesoak.MinMachines { // the command replays the larger ones
 			soaks = append(soaks, each)
 		}
 	}
@@ -55,7 +55,7 @@
 			c.Check(report.Crashes > 0, qt.Equals, each.CrashRate > 0)
 			c.Check(report.AfterThirdCrash <= 3, qt.IsTrue)
 			c.Check(report.ShutOut, qt.Equals, 0)
-			c.Check(report.Endings > 0 || each.LeaveRate == 0, qt.IsTrue)
+			c.Check(report.Withdrawals > 0 || each.LeaveRate == 0, qt.IsTrue)
 		})
 	}
 }
