--- a/test/integration/claims_test.go
+++ b/test/integration/claims_test.go
@@ -11,10 +11,9 @@
 	"github.com/winchhead/winchhead/internal/bench/mesh"
 )
 
-// TestKeyRunsOnceWhenItsNodesAreKilled has a booking with a key run, then kills and
-// replaces both nodes that know of it: the caller's edge and the node that ran it.
-// The repeat through the other edge must not run.
-// Guards: a request that may not be repeated runs at most once.
+// TestKeyRunsOnceWhenItsNodesAreKilled runs a booking with a key, then kills and replaces
+// both nodes that know of it: the caller's edge and the sidecar of the back end that ran
+// it. Repeating the booking through the other edge must not run it again.
 func TestKeyRunsOnceWhenItsNodesAreKilled(t *testing.T) {
 	t.Parallel()
 	running := startMesh(t)
@@ -29,13 +28,13 @@
 	first := load.Send(transport, edge.Outbound(), booking, time.Now())
 	qt.Assert(t, first.Class, qt.Equals, load.Answered, qt.Commentf("%+v", first))
 
-	for _, lost := range []*mesh.Node{edge, ownerOf(t, running, booking.IdempotencyKey)} {
+	for _, lost := range []*mesh.Node{edge, nodeThatRan(t, running, booking.IdempotencyKey)} {
 		qt.Assert(t, lost.Kill(), qt.IsNil)
 		qt.Assert(t, lost.Start(ctx), qt.IsNil)
 	}
 	qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
 
-	// While the edge still learns of the new processes it may refuse as not run.
+	// Until the edge knows the new processes, it may refuse the booking as not run.
 	again := load.Send(transport, running.Node("edge-2").Outbound(), booking, time.Now())
 	for again.Class == load.NotRun && ctx.Err() == nil {
 		again = load.Send(transport, running.Node("edge-2").Outbound(), booking, time.Now())
@@ -45,8 +44,8 @@
 	qt.Check(t, runsOf(running, booking.IdempotencyKey), qt.Equals, 1)
 }
 
-// ownerOf returns the node beside the back end that ran a key.
-func ownerOf(t testing.TB, running *mesh.Mesh, key string) *mesh.Node {
+// nodeThatRan returns the node beside the back end that ran the booking with the key.
+func nodeThatRan(t testing.TB, running *mesh.Mesh, key string) *mesh.Node {
 	for _, instance := range running.Backends() {
 		if instance.Journal().Key(key).Started > 0 {
 			return running.Node(instance.Node)
@@ -56,7 +55,7 @@
 	return nil
 }
 
-// runsOf counts how often a key ran, at any back end.
+// runsOf returns how often the booking with the key ran on all back ends.
 func runsOf(running *mesh.Mesh, key string) int {
 	total := 0
 	for _, instance := range running.Backends() {
--- a/test/integration/drain_test.go
+++ b/test/integration/drain_test.go
@@ -10,36 +10,36 @@
 	"github.com/winchhead/winchhead/internal/bench/mesh"
 )
 
-// The promises of the brief that the drain rows guard.
+// The guarantees that the drain rows check.
 const (
-	promiseDrain = "A back end that is leaving gets no new work after a few seconds."
-	promiseStop  = "A planned stop cuts no request in progress."
+	guaranteeDrain       = "A back end that is leaving gets no new work after a few seconds."
+	guaranteePlannedStop = "A planned stop cuts no request in progress."
 )
 
-// drainRow is something that leaves under load, as planned. In every row all
+// drainRow is a planned departure of a node or back end under load. In every row all
 // calls must be answered.
 type drainRow struct {
-	name    string
-	promise string
-	leave   func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers)
+	name      string
+	guarantee string
+	leave     func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers)
 }
 
 var drainRows = []drainRow{
-	{"a back end says that it is leaving", promiseDrain, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
-		leaveAndReturn(ctx, t, m, m.Backend(victim), calling)
+	{"a back end announces that it is leaving", guaranteeDrain, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
+		leaveAndReturn(ctx, t, m, m.Backend(targetNode), calling)
 	}},
-	{"the platform's list says that a node is leaving", promiseDrain, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
-		m.Node(victim).AnnounceLeaving()
+	{"the platform lists a node as leaving", guaranteeDrain, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
+		m.Node(targetNode).AnnounceLeaving()
 		awaitNoNewWork(ctx, t, m, calling)
-		m.Node(victim).AnnounceStaying()
+		m.Node(targetNode).AnnounceStaying()
 	}},
-	{"a node beside a back end stops", promiseStop, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
-		qt.Assert(t, m.Node(victim).Replace(ctx), qt.IsNil)
+	{"a node beside a back end stops", guaranteePlannedStop, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
+		qt.Assert(t, m.Node(targetNode).Replace(ctx), qt.IsNil)
 	}},
-	{"an edge stops", promiseStop, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
+	{"an edge stops", guaranteePlannedStop, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
 		qt.Assert(t, m.Node("edge-1").Replace(ctx), qt.IsNil)
 	}},
-	{"every node and back end is replaced", promiseStop, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
+	{"every node and back end is replaced", guaranteePlannedStop, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
 		for _, node := range m.Nodes() {
 			qt.Assert(t, node.Replace(ctx), qt.IsNil)
 			qt.Assert(t, m.AwaitWhole(ctx), qt.IsNil)
@@ -51,8 +51,8 @@
 	}},
 }
 
-// leaveAndReturn lets a back end leave as planned and come back as a new process
-// once its node has seen that it is gone.
+// leaveAndReturn drains a back end and restarts it as a new process once its node has
+// seen that it is gone.
 func leaveAndReturn(ctx context.Context, t *testing.T, m *mesh.Mesh, instance *mesh.Backend, calling *callers) {
 	instance.Drain()
 	awaitNoNewWork(ctx, t, m, calling)
@@ -62,9 +62,9 @@
 	qt.Assert(t, instance.Restart(), qt.IsNil)
 }
 
-// awaitNoNewWork waits until no node counts on the leaving instance, and until
-// all calls begun before that have ended; then it checks that the instance runs
-// nothing while its peer does.
+// awaitNoNewWork waits until no node sends requests to the leaving instance and all calls
+// begun before that have ended. Then it checks that the instance runs nothing while the
+// other instance does.
 func awaitNoNewWork(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
 	qt.Assert(t, m.AwaitInstances(ctx, service, 1, m.Edges()...), qt.IsNil)
 	calling.awaitMore(ctx, t, 2*workers, nil)
@@ -80,7 +80,7 @@
 	qt.Assert(t, idle, qt.Equals, 1, qt.Commentf("started before %v, after %v", before, after))
 }
 
-// startedOn counts what each back end has begun.
+// startedOn returns how many requests each back end has begun.
 func startedOn(m *mesh.Mesh) map[string]int {
 	started := map[string]int{}
 	for _, instance := range m.Backends() {
@@ -89,13 +89,13 @@
 	return started
 }
 
-// TestDrain runs the drain rows, each on a mesh of its own.
+// TestDrain runs the drain rows, each with a mesh of its own.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	for _, row := range drainRows {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			t.Logf("guards: %s", row.promise)
+			t.Logf("guards: %s", row.guarantee)
 			ctx := testContext(t)
 			running := startMesh(t)
 			calling := startCallers(t, running, callTimeout)
@@ -106,7 +106,7 @@
 			results := calling.stop()
 			t.Logf("%v", classes(results))
 			assertOnly(t, results, load.Answered)
-			assertKept(t, running, results)
+			assertGuarantees(t, running, results)
 		})
 	}
 }
--- a/test/integration/examples_test.go
+++ b/test/integration/examples_test.go
@@ -13,11 +13,12 @@
 	"github.com/winchhead/winchhead/internal/bench/mesh"
 )
 
-// routeTimeout finds the timeouts of routes, those of sessions (hours) excepted.
+// routeTimeout matches the timeouts of routes, except those of sessions, which are in
+// hours.
 var routeTimeout = regexp.MustCompile(`timeout = "[0-9]+m?s"`)
 
-// TestExamples runs each example deployment as real processes and sends its
-// workload: every call is answered, and the journals agree.
+// TestExamples runs each example deployment with real processes and sends its workload.
+// Every call must be answered, and the journals of the back ends must agree.
 func TestExamples(t *testing.T) {
 	t.Parallel()
 	const callsPerSecond, seconds = 100, 2
@@ -29,7 +30,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			workload, err := load.LoadWorkload(filepath.Join(directory, "workload.yaml"))
 			qt.Assert(t, err, qt.IsNil)
-			// A loaded machine gives the same verdict.
+			// Long timeouts keep a loaded machine from changing the result.
 			for i := range workload.Calls {
 				workload.Calls[i].Timeout = callTimeout
 			}
@@ -48,7 +49,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, record.Results(), qt.HasLen, callsPerSecond*seconds)
 			assertOnly(t, record.Results(), load.Answered)
-			assertKept(t, running, record.Results())
+			assertGuarantees(t, running, record.Results())
 		})
 	}
 }
--- a/test/integration/faults_test.go
+++ b/test/integration/faults_test.go
@@ -14,40 +14,40 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// The promises of the brief that the rows guard.
+// The guarantees that the fault rows check.
 const (
-	promiseOnce    = "A request that may not be repeated runs at most once."
-	promiseNotRun  = "When a request is refused as \"not run\", it truly did not run."
-	promiseWhole   = "A caller gets the whole answer to its own request and no one else's."
-	promiseHealth  = "Health and load endpoints lag or mislead; none of this may break the promises."
-	promiseInForce = "An accepted configuration is in force on every proxy within seconds and never reverts."
+	guaranteeOnce        = "A request that may not be repeated runs at most once."
+	guaranteeNotRun      = "When a request is refused as \"not run\", it truly did not run."
+	guaranteeWholeAnswer = "A caller gets the whole answer to its own request and no one else's."
+	guaranteeHealth      = "Health and load endpoints lag or mislead; none of this may break the other guarantees."
+	guaranteeInForce     = "An accepted configuration is in force on every proxy within seconds and never reverts."
 )
 
-// victim is the node whose hops, process or back end the rows disturb. Its peer
-// stays whole.
-const victim = "booking-1"
+// targetNode is the node whose hops, process or back end the rows disturb. The other node
+// beside a back end is left alone.
+const targetNode = "booking-1"
 
-// faultRow is one fault with what callers may see of it. Besides, in every row,
-// the journals must agree with every answer, and a change of the configuration
-// that is published during the fault must come into force after it.
+// faultRow is a fault and the results that callers may see during it. In every row the
+// journals must also agree with every answer, and a configuration change that is published
+// during the fault must come into force after it.
 type faultRow struct {
-	name    string
-	promise string
-	begin   func(ctx context.Context, m *mesh.Mesh) error
-	end     func(ctx context.Context, m *mesh.Mesh) error
-	// timeout is the time that callers give; zero is callTimeout.
+	name      string
+	guarantee string
+	begin     func(ctx context.Context, m *mesh.Mesh) error
+	end       func(ctx context.Context, m *mesh.Mesh) error
+	// timeout is the timeout of the calls. Zero means callTimeout.
 	timeout time.Duration
-	// allowed lists what may become of a call, beside being answered. A call whose
-	// time is short may be Rejected: the back end itself answers that it is over.
+	// allowed lists the results that calls may have besides Answered. Calls with a short
+	// timeout may be Rejected: the back end itself answers that their time is over.
 	allowed []load.Class
-	// awaited lists what must happen to some call during the fault: one of these.
+	// awaited lists results of which at least one must occur during the fault.
 	awaited []load.Class
-	// journal is what the journals must show of at least one call that may not be
-	// repeated and ended as awaited.
+	// journal is what the journals must show for at least one call that may not be repeated
+	// and has an awaited result.
 	journal journalCheck
 }
 
-// journalCheck is what the journals show of a call.
+// journalCheck is what the journals must show for a call.
 type journalCheck string
 
 const (
@@ -56,8 +56,8 @@
 	didNotRun journalCheck = "did not run"
 )
 
-// holds reports whether the journals show it.
-func (j journalCheck) holds(journal load.Journal, result load.Result) bool {
+// matches reports whether the journals show it for the call of the result.
+func (j journalCheck) matches(journal load.Journal, result load.Result) bool {
 	switch j {
 	case ran:
 		return !result.Call.MayRepeat && journal(result.Call.ID).Started == 1
@@ -68,145 +68,146 @@
 	}
 }
 
-// injected makes a row's begin and end from a fault on a hop of the victim.
-func injected(row faultRow, hop mesh.Hop, fault faultproxy.Fault) faultRow {
-	row.begin = func(_ context.Context, m *mesh.Mesh) error { return m.Hop(victim, hop).Inject(fault) }
-	row.end = func(ctx context.Context, m *mesh.Mesh) error { m.Hop(victim, hop).Heal(ctx); return nil }
+// withFault returns the row with a fault on a hop of the target node.
+func withFault(row faultRow, hop mesh.Hop, fault faultproxy.Fault) faultRow {
+	row.begin = func(_ context.Context, m *mesh.Mesh) error { return m.Hop(targetNode, hop).Inject(fault) }
+	row.end = func(ctx context.Context, m *mesh.Mesh) error { m.Hop(targetNode, hop).Heal(ctx); return nil }
 	return row
 }
 
-// misbehaving makes a row whose back end acts otherwise.
-func misbehaving(row faultRow, behavior backend.Behavior) faultRow {
-	row.begin = func(_ context.Context, m *mesh.Mesh) error { m.Backend(victim).Configure(behavior); return nil }
+// withBehavior returns the row with a changed behavior of the back end.
+func withBehavior(row faultRow, behavior backend.Behavior) faultRow {
+	row.begin = func(_ context.Context, m *mesh.Mesh) error { m.Backend(targetNode).Configure(behavior); return nil }
 	row.end = func(_ context.Context, m *mesh.Mesh) error {
-		m.Backend(victim).Configure(backend.Behavior{})
+		m.Backend(targetNode).Configure(backend.Behavior{})
 		return nil
 	}
 	return row
 }
 
-// refused makes a row whose hop refuses connections.
-func refused(row faultRow, hop mesh.Hop) faultRow {
-	row.begin = func(_ context.Context, m *mesh.Mesh) error { m.Hop(victim, hop).Refuse(); return nil }
-	row.end = func(_ context.Context, m *mesh.Mesh) error { return m.Hop(victim, hop).Accept() }
+// withRefusedConnections returns the row with a hop that refuses connections.
+func withRefusedConnections(row faultRow, hop mesh.Hop) faultRow {
+	row.begin = func(_ context.Context, m *mesh.Mesh) error { m.Hop(targetNode, hop).Refuse(); return nil }
+	row.end = func(_ context.Context, m *mesh.Mesh) error { return m.Hop(targetNode, hop).Accept() }
 	return row
 }
 
-// Sizes of the faults.
+// Durations and sizes of the faults.
 const (
-	shortTimeout = 500 * time.Millisecond
-	linkDelay    = 30 * time.Millisecond
-	cutBytes     = 30_000
-	// brokenAnswers is how many answers the back end breaks: all until the row ends.
+	shortTimeout  = 500 * time.Millisecond
+	linkDelay     = 30 * time.Millisecond
+	cutAfterBytes = 30_000
+	// brokenAnswers is the number of answers that the back end breaks: more than a row has, so
+	// that all are broken until the row ends.
 	brokenAnswers = 1 << 30
 )
 
-// fullLoad is the load that a lying back end claims.
-var fullLoad = 1.0
+// falseLoad is the load that a back end falsely reports.
+var falseLoad = 1.0
 
-// faultRows is the fault table. Faults begin while calls are in progress.
+// faultRows are the tested faults. Each begins while calls are in progress.
 var faultRows = []faultRow{
-	refused(faultRow{
-		name: "connection refused by the back end", promise: promiseNotRun,
+	withRefusedConnections(faultRow{
+		name: "connection refused by the back end", guarantee: guaranteeNotRun,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Answered},
 	}, mesh.HopBackend),
-	refused(faultRow{
-		name: "connection refused by the node", promise: promiseNotRun,
+	withRefusedConnections(faultRow{
+		name: "connection refused by the node", guarantee: guaranteeNotRun,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Answered},
 	}, mesh.HopData),
-	injected(faultRow{
-		name: "reset before the request reaches the back end", promise: promiseOnce,
+	withFault(faultRow{
+		name: "reset before the request reaches the back end", guarantee: guaranteeOnce,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Unknown}, journal: didNotRun,
 	}, mesh.HopBackend, faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsServer}),
-	injected(faultRow{
-		name: "reset after the request reached the back end", promise: promiseOnce,
+	withFault(faultRow{
+		name: "reset after the request reached the back end", guarantee: guaranteeOnce,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Unknown}, journal: ran,
 	}, mesh.HopBackend, faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsClient}),
-	injected(faultRow{
-		name: "reset between nodes after the request was sent", promise: promiseOnce,
+	withFault(faultRow{
+		name: "reset between nodes after the request was sent", guarantee: guaranteeOnce,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Unknown}, journal: ran,
 	}, mesh.HopData, faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.TowardsClient}),
-	injected(faultRow{
-		name: "cut within the answer of the back end", promise: promiseWhole,
+	withFault(faultRow{
+		name: "cut within the answer of the back end", guarantee: guaranteeWholeAnswer,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Cut}, journal: ran,
-	}, mesh.HopBackend, faultproxy.Fault{Kind: faultproxy.CutAfter, Direction: faultproxy.TowardsClient, Bytes: cutBytes}),
-	injected(faultRow{
-		name: "cut between nodes within the answer", promise: promiseWhole,
+	}, mesh.HopBackend, faultproxy.Fault{Kind: faultproxy.CutAfter, Direction: faultproxy.TowardsClient, Bytes: cutAfterBytes}),
+	withFault(faultRow{
+		name: "cut between nodes within the answer", guarantee: guaranteeWholeAnswer,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Cut}, journal: ran,
-	}, mesh.HopData, faultproxy.Fault{Kind: faultproxy.CutAfter, Direction: faultproxy.TowardsClient, Bytes: cutBytes}),
-	misbehaving(faultRow{
-		name: "reset within the answer of the back end", promise: promiseWhole,
+	}, mesh.HopData, faultproxy.Fault{Kind: faultproxy.CutAfter, Direction: faultproxy.TowardsClient, Bytes: cutAfterBytes}),
+	withBehavior(faultRow{
+		name: "reset within the answer of the back end", guarantee: guaranteeWholeAnswer,
 		allowed: []load.Class{load.Unknown, load.Cut}, awaited: []load.Class{load.Unknown, load.Cut}, journal: ran,
 	}, backend.Behavior{Fault: backend.FaultResetMidAnswer, FaultCount: brokenAnswers}),
-	misbehaving(faultRow{
-		name: "answer shorter than announced", promise: promiseWhole,
+	withBehavior(faultRow{
+		name: "answer shorter than announced", guarantee: guaranteeWholeAnswer,
 		allowed: []load.Class{load.Unknown, load.Cut}, awaited: []load.Class{load.Unknown, load.Cut}, journal: ran,
 	}, backend.Behavior{Fault: backend.FaultWrongLength, FaultCount: brokenAnswers}),
-	misbehaving(faultRow{
-		name: "health endpoint lies that the back end fails", promise: promiseHealth, awaited: []load.Class{load.Answered},
+	withBehavior(faultRow{
+		name: "health endpoint falsely reports failure", guarantee: guaranteeHealth, awaited: []load.Class{load.Answered},
 	}, backend.Behavior{Health: backend.HealthFailing}),
-	misbehaving(faultRow{
-		name: "load endpoint lies that the back end is full", promise: promiseHealth, awaited: []load.Class{load.Answered},
-	}, backend.Behavior{LoadLie: &fullLoad}),
-	injected(faultRow{
-		name: "back end stalled", promise: promiseWhole, timeout: shortTimeout,
+	withBehavior(faultRow{
+		name: "load endpoint falsely reports full load", guarantee: guaranteeHealth, awaited: []load.Class{load.Answered},
+	}, backend.Behavior{LoadLie: &falseLoad}),
+	withFault(faultRow{
+		name: "back end stalled", guarantee: guaranteeWholeAnswer, timeout: shortTimeout,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut, load.Late, load.Rejected}, awaited: []load.Class{load.Unknown}, journal: ran,
 	}, mesh.HopBackend, faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.TowardsClient}),
-	injected(faultRow{
-		name: "link delayed", promise: promiseWhole, awaited: []load.Class{load.Answered},
+	withFault(faultRow{
+		name: "link delayed", guarantee: guaranteeWholeAnswer, awaited: []load.Class{load.Answered},
 	}, mesh.HopData, faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.TowardsClient, Delay: linkDelay}),
-	injected(faultRow{
-		name: "halved link: requests are lost, the connection stands", promise: promiseOnce, timeout: shortTimeout,
+	withFault(faultRow{
+		name: "half-open link: requests are lost, the connection stays open", guarantee: guaranteeOnce, timeout: shortTimeout,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut, load.Late, load.Rejected}, awaited: []load.Class{load.Unknown}, journal: didNotRun,
 	}, mesh.HopData, faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.TowardsServer}),
 	{
-		name: "node killed", promise: promiseOnce,
-		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Node(victim).Kill() },
-		end:     func(ctx context.Context, m *mesh.Mesh) error { return m.Node(victim).Start(ctx) },
+		name: "node killed", guarantee: guaranteeOnce,
+		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Node(targetNode).Kill() },
+		end:     func(ctx context.Context, m *mesh.Mesh) error { return m.Node(targetNode).Start(ctx) },
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Answered},
 	},
 	{
-		name: "back end killed", promise: promiseOnce,
-		begin:   func(_ context.Context, m *mesh.Mesh) error { m.Backend(victim).Kill(); return nil },
-		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Backend(victim).Restart() },
+		name: "back end killed", guarantee: guaranteeOnce,
+		begin:   func(_ context.Context, m *mesh.Mesh) error { m.Backend(targetNode).Kill(); return nil },
+		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Backend(targetNode).Restart() },
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Answered},
 	},
 	{
-		name: "node and back end killed", promise: promiseOnce,
+		name: "node and back end killed", guarantee: guaranteeOnce,
 		begin: func(_ context.Context, m *mesh.Mesh) error {
-			m.Backend(victim).Kill()
-			return m.Node(victim).Kill()
+			m.Backend(targetNode).Kill()
+			return m.Node(targetNode).Kill()
 		},
 		end: func(ctx context.Context, m *mesh.Mesh) error {
-			if err := m.Backend(victim).Restart(); err != nil {
+			if err := m.Backend(targetNode).Restart(); err != nil {
 				return err
 			}
-			return m.Node(victim).Start(ctx)
+			return m.Node(targetNode).Start(ctx)
 		},
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut}, awaited: []load.Class{load.Answered},
 	},
 	{
-		name: "node paused and woken", promise: promiseNotRun, timeout: shortTimeout,
-		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Node(victim).Pause() },
-		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Node(victim).Resume() },
+		name: "node paused and resumed", guarantee: guaranteeNotRun, timeout: shortTimeout,
+		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Node(targetNode).Pause() },
+		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Node(targetNode).Resume() },
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut, load.Late, load.Rejected}, awaited: []load.Class{load.Unknown},
 	},
 	{
-		name: "configuration source down", promise: promiseInForce,
+		name: "configuration source down", guarantee: guaranteeInForce,
 		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Platform.Outage() },
 		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Platform.Return() },
 		awaited: []load.Class{load.Answered},
 	},
 }
 
-// TestFaults runs the fault table on one mesh: calls go on while each fault
-// begins, lasts until callers have seen it, and ends.
+// TestFaults runs all fault rows on one mesh. Calls go on while each fault begins, lasts
+// until callers have seen it, and ends.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	running := startMesh(t, mesh.HopBackend, mesh.HopData)
 	for _, row := range faultRows {
 		t.Run(row.name, func(t *testing.T) {
-			t.Logf("guards: %s", row.promise)
+			t.Logf("guards: %s", row.guarantee)
 			runFault(t, running, row)
 		})
 	}
@@ -229,7 +230,7 @@
 	qt.Assert(t, row.begin(ctx, running), qt.IsNil)
 	revision := publishChange(t, running)
 	calling.awaitSince(ctx, t, before, 1, func(result load.Result) bool {
-		return slices.Contains(row.awaited, result.Class) && row.journal.holds(running.Journal(), result)
+		return slices.Contains(row.awaited, result.Class) && row.journal.matches(running.Journal(), result)
 	})
 	calling.awaitSince(ctx, t, before, callsDuring, nil)
 	qt.Assert(t, row.end(ctx, running), qt.IsNil)
@@ -240,5 +241,5 @@
 	results := calling.stop()
 	t.Logf("%v", classes(results))
 	assertOnly(t, results, append(row.allowed, load.Answered)...)
-	assertKept(t, running, results)
+	assertGuarantees(t, running, results)
 }
--- a/test/integration/promises_test.go
+++ b/test/integration/guarantees_test.go
@@ -12,9 +12,8 @@
 	"github.com/winchhead/winchhead/internal/bench/load"
 )
 
-// TestRepeatedKeyRunsOnce sends a request that may not be repeated several times
-// at once with one Idempotency-Key, to both edges.
-// Guards: a request that may not be repeated runs at most once.
+// TestRepeatedKeyRunsOnce sends a request that may not be repeated several times at once
+// through both edges, with the same Idempotency-Key. It must run at most once.
 func TestRepeatedKeyRunsOnce(t *testing.T) {
 	t.Parallel()
 	running := startMesh(t)
@@ -40,17 +39,17 @@
 	qt.Assert(t, running.Journal()(call.ID).Started, qt.Equals, 1)
 }
 
-// TestWokenNodeForwardsNothingExpired pauses the only node that takes work, lets
-// calls run out of time, and wakes it.
-// Guards: work whose deadline passed in a pause is never forwarded.
-func TestWokenNodeForwardsNothingExpired(t *testing.T) {
+// TestResumedNodeForwardsNothingExpired pauses the only node that takes work, lets calls
+// time out, and resumes the node. It must not forward calls whose deadline passed during
+// the pause.
+func TestResumedNodeForwardsNothingExpired(t *testing.T) {
 	t.Parallel()
 	running := startMesh(t)
 	ctx := testContext(t)
 	peer := "booking-2"
 	running.Backend(peer).Drain()
 	qt.Assert(t, running.AwaitInstances(ctx, service, 1, running.Edges()...), qt.IsNil)
-	qt.Assert(t, running.Node(victim).Pause(), qt.IsNil)
+	qt.Assert(t, running.Node(targetNode).Pause(), qt.IsNil)
 
 	const calls = 20
 	results := make([]load.Result, calls)
@@ -64,7 +63,7 @@
 		waiting.Go(func() { results[i] = load.Send(transport, running.Entries.Pick(uint64(i)), call, time.Now()) })
 	}
 	waiting.Wait()
-	qt.Assert(t, running.Node(victim).Resume(), qt.IsNil)
+	qt.Assert(t, running.Node(targetNode).Resume(), qt.IsNil)
 	running.Backend(peer).EndDrain()
 	qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
 
--- a/test/integration/input_test.go
+++ b/test/integration/input_test.go
@@ -13,10 +13,10 @@
 	"github.com/winchhead/winchhead/internal/bench/load"
 )
 
-// badInputs are requests with the status of their answer: all but the last two must
-// be refused. Headers that only nodes may set must have no effect. The last row is
-// one that RFC 9112 (6.3) lets a server take: chunks win over a
-// length, and what follows them is no part of the body.
+// badInputs are requests and the status that they must get. All but the last two must be
+// refused. Header fields that only nodes may set must have no effect when a caller sends
+// them. RFC 9112 (6.3) lets a server accept the last row: chunked coding overrides the
+// length, and what follows the last chunk is not part of the body.
 var badInputs = []struct {
 	name, request string
 	status        int
@@ -31,8 +31,8 @@
 	{"length and chunks", "POST /echo HTTP/1.1\r\nHost: booking\r\nContent-Length: 40\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /admin HTTP/1.1\r\nHost: booking\r\n\r\n", http.StatusOK},
 }
 
-// TestBadInput sends malformed requests beside good ones.
-// Guards: a clear error, and other callers unharmed.
+// TestBadInput sends malformed requests along with valid ones. Malformed requests must get
+// a clear error, and the valid ones must not be affected.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	running := startMesh(t)
@@ -46,7 +46,7 @@
 			defer conn.Close()
 			deadline, _ := ctx.Deadline()
 			qt.Assert(t, conn.SetDeadline(deadline), qt.IsNil)
-			go func() { _, _ = io.WriteString(conn, row.request) }() // the refusal may come first
+			go func() { _, _ = io.WriteString(conn, row.request) }() // fails if the node refuses the request before all of it is written
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			qt.Assert(t, err, qt.IsNil)
 			body, err := io.ReadAll(response.Body)
@@ -60,5 +60,5 @@
 	calling.awaitMore(ctx, t, callsBefore, nil)
 	results := calling.stop()
 	assertOnly(t, results, load.Answered)
-	assertKept(t, running, results)
+	assertGuarantees(t, running, results)
 }
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -1,6 +1,5 @@
-// Package integration proves the promises of the brief with real node processes:
-// the winchhead binary, started by the tests and ended by its id, between the
-// emulated platform and back ends.
+// Package integration tests the guarantees of the mesh with real processes: the winchhead
+// binary, started and stopped by the tests, between the emulated platform and back ends.
 package integration
 
 import (
@@ -15,11 +14,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The binaries under test, built once by TestMain.
+// winchheadBinary and benchBinary are the paths of the binaries that TestMain builds.
 var winchheadBinary, benchBinary string
 
-// testTimeout ends a test that waits for something that never comes. It is far
-// above what any test needs, so that a loaded machine gives the same verdict.
+// testTimeout ends a test that waits for something that never happens. It is far longer
+// than any test needs, so that a loaded machine doesn't change the result.
 const testTimeout = 2 * time.Minute
 
 func TestMain(m *testing.M) {
@@ -43,15 +42,15 @@
 	return m.Run()
 }
 
-// testContext ends with the test, or after testTimeout.
+// testContext returns a context that ends with the test, or after testTimeout.
 func testContext(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// startProgram starts a binary and ends it with the test. It returns once the
-// program has printed its first line, which says that it serves.
+// startProgram starts a binary and stops it at the end of the test. It returns once the
+// program has printed its first line, which says that it is serving.
 func startProgram(t testing.TB, binary string, arguments ...string) {
 	command := exec.Command(binary, arguments...)
 	command.Stderr = os.Stderr
--- a/test/integration/mesh_test.go
+++ b/test/integration/mesh_test.go
@@ -22,13 +22,13 @@
 // service is the only service of testdata/small.
 const service = "booking"
 
-// startMesh starts testdata/small with fault proxies on the hops.
+// startMesh starts the deployment testdata/small with fault proxies on the hops.
 func startMesh(t testing.TB, hops ...mesh.Hop) *mesh.Mesh {
 	return startMeshWith(t, mesh.Options{Hops: hops})
 }
 
-// startMeshWith starts testdata/small with real processes, waits until it is whole,
-// and ends it with the test.
+// startMeshWith starts testdata/small with real processes, waits until it is complete, and
+// stops it at the end of the test.
 func startMeshWith(t testing.TB, options mesh.Options) *mesh.Mesh {
 	plan, err := deployment.Load("testdata/small")
 	qt.Assert(t, err, qt.IsNil)
@@ -40,7 +40,8 @@
 	return running
 }
 
-// nodeLogs is a file that the test's log names when the test fails.
+// nodeLogs returns a file for the logs of the nodes. If the test fails, the file is kept
+// and the test's log names it.
 func nodeLogs(t testing.TB) *os.File {
 	file, err := os.CreateTemp("", "winchhead-nodes-*.log")
 	qt.Assert(t, err, qt.IsNil)
@@ -55,7 +56,7 @@
 	return file
 }
 
-// publishChange publishes a revision that differs in a comment only.
+// publishChange publishes a revision that differs only in a comment of a policy.
 func publishChange(t testing.TB, running *mesh.Mesh) snapshot.Revision {
 	version, err := running.Platform.Change(func(content *snapshot.Content) error {
 		content.Policies[0].Program += "# changed\n"
@@ -65,21 +66,22 @@
 	return version.Revision
 }
 
-// Sizes of the callers' work.
+// Load of the callers.
 const (
-	workers       = 6
-	workTime      = 10 * time.Millisecond
-	smallBody     = 200
-	largeBody     = 60_000
-	callTimeout   = 10 * time.Second
-	largeBodyOnce = 5 // one call in so many has a large body
+	workers        = 6
+	workTime       = 10 * time.Millisecond
+	smallBody      = 200
+	largeBody      = 60_000
+	callTimeout    = 10 * time.Second
+	largeBodyEvery = 5 // one call in this many has a large body
 )
 
-// lastNumber numbers the calls of all tests, as journals outlive one.
-var lastNumber atomic.Uint64
+// lastCallNumber is the number of the last call. All tests share it, because journals of
+// back ends outlive a test.
+var lastCallNumber atomic.Uint64
 
-// callers send numbered calls without pause, each checked byte by byte, and keep
-// all results. One in two may not be repeated.
+// callers send numbered calls without pause, check every byte of the answers and keep all
+// results. Every other call may not be repeated.
 type callers struct {
 	running   *mesh.Mesh
 	transport *http.Transport
@@ -89,7 +91,7 @@
 
 	lock    sync.Mutex
 	results []load.Result
-	changed chan struct{} // closed and replaced at each result
+	changed chan struct{} // closed and replaced when a result is added
 }
 
 func startCallers(t testing.TB, running *mesh.Mesh, timeout time.Duration) *callers {
@@ -111,7 +113,7 @@
 			return
 		default:
 		}
-		number := lastNumber.Add(1)
+		number := lastCallNumber.Add(1)
 		c.add(load.Send(c.transport, c.running.Entries.Pick(number/2), c.call(number), time.Now()))
 	}
 }
@@ -121,7 +123,7 @@
 		ID: fmt.Sprintf("call-%d", number), Host: service, Path: "/echo",
 		Method: http.MethodPost, BodyBytes: smallBody, Work: workTime, Timeout: c.timeout,
 	}
-	if number%largeBodyOnce == 0 {
+	if number%largeBodyEvery == 0 {
 		call.BodyBytes = largeBody
 	}
 	if number%2 == 0 {
@@ -139,19 +141,19 @@
 	c.changed = make(chan struct{})
 }
 
-// mark returns how many calls have ended, for awaitSince.
+// mark returns the number of calls that have ended, for awaitSince.
 func (c *callers) mark() int {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return len(c.results)
 }
 
-// awaitMore waits until count more calls that match have ended; nil matches all.
+// awaitMore waits until count more matching calls have ended. A nil match matches all.
 func (c *callers) awaitMore(ctx context.Context, t testing.TB, count int, match func(load.Result) bool) {
 	c.awaitSince(ctx, t, c.mark(), count, match)
 }
 
-// awaitSince waits until count calls that match have ended since a mark.
+// awaitSince waits until count matching calls have ended since the mark.
 func (c *callers) awaitSince(ctx context.Context, t testing.TB, mark, count int, match func(load.Result) bool) {
 	for {
 		seen, changed := c.countSince(mark, match)
@@ -160,7 +162,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("%d of %d calls ended as awaited (%v), since the mark: %v", seen, count, ctx.Err(), classes(c.since(mark)))
+			t.Fatalf("%d of %d expected calls ended (%v), all since the mark: %v", seen, count, ctx.Err(), classes(c.since(mark)))
 		case <-changed:
 		}
 	}
@@ -184,7 +186,7 @@
 	return seen, c.changed
 }
 
-// stop ends the calls and returns all results. It may be called again.
+// stop ends the calls and returns all results. It may be called more than once.
 func (c *callers) stop() []load.Result {
 	select {
 	case <-c.stopping:
@@ -196,10 +198,10 @@
 	return c.results
 }
 
-// answered matches calls that got their whole answer.
+// answered reports whether a call got its whole answer.
 func answered(result load.Result) bool { return result.Class == load.Answered }
 
-// classes counts results by class.
+// classes returns the number of results of each class.
 func classes(results []load.Result) map[load.Class]int {
 	counts := map[load.Class]int{}
 	for _, result := range results {
@@ -219,8 +221,9 @@
 	qt.Assert(t, unwanted, qt.HasLen, 0, qt.Commentf("allowed %v; all: %v", allowed, classes(results)))
 }
 
-// assertKept audits results against the back ends' journals.
-func assertKept(t testing.TB, running *mesh.Mesh, results []load.Result) {
+// assertGuarantees checks the results against the journals of the back ends, and that no
+// back end got more requests or connections at once than it allows.
+func assertGuarantees(t testing.TB, running *mesh.Mesh, results []load.Result) {
 	audit := load.Check(results, running.Journal())
 	qt.Assert(t, audit.Kept(), qt.IsTrue, qt.Commentf("%+v", audit))
 	for _, instance := range running.Backends() {
--- a/test/integration/sessions_test.go
+++ b/test/integration/sessions_test.go
@@ -18,21 +18,21 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// session is one long exchange through edge-1. step proves that it still lives:
-// it moves bytes and checks them. end ends it in order and checks what is left.
+// session is a long-lived exchange through edge-1. step transfers some bytes and checks
+// them, which shows that the session is still alive. end ends it regularly and checks the
+// remaining bytes.
 type session struct {
 	name string
 	step func(t *testing.T)
 	end  func(t *testing.T)
 }
 
-// sessionChanges is how many configuration changes the sessions live through.
+// sessionChanges is the number of configuration changes during the sessions.
 const sessionChanges = 20
 
-// TestSessions holds server-sent events, streamed bodies both ways and an
-// upgraded connection through configuration changes and the planned stop and
-// return of the other nodes.
-// Guards: clients hold long-lived sessions that must never be dropped.
+// TestSessions keeps server-sent events, streamed bodies in both directions and an upgraded
+// connection open during configuration changes and planned restarts of the other nodes.
+// None of these long-lived sessions may be dropped.
 func TestSessions(t *testing.T) {
 	t.Parallel()
 	running := startMesh(t)
@@ -45,16 +45,16 @@
 		}
 	}
 	stepAll()
-	// The route prefers the caller's zone, so that all sessions are on one node.
-	// What was written of the upload may still be on its way.
-	qt.Assert(t, running.Backend(victim).Journal().AwaitStarted(ctx, len(sessions)), qt.IsNil)
+	// The route prefers the caller's zone, so all sessions are on one node. Bytes written to
+	// the upload may not have arrived yet.
+	qt.Assert(t, running.Backend(targetNode).Journal().AwaitStarted(ctx, len(sessions)), qt.IsNil)
 	for change := range sessionChanges {
 		revision := publishChange(t, running)
 		_, err := running.AwaitRevision(ctx, revision)
 		qt.Assert(t, err, qt.IsNil)
 		stepAll()
 		if change == sessionChanges/2 {
-			replaceOthers(ctx, t, running, stepAll)
+			restartOthers(ctx, t, running, stepAll)
 		}
 	}
 	for _, open := range sessions {
@@ -62,8 +62,8 @@
 	}
 }
 
-// replaceOthers stops and starts each node that carries no session.
-func replaceOthers(ctx context.Context, t *testing.T, running *mesh.Mesh, stepAll func()) {
+// restartOthers stops and starts each node that carries no session.
+func restartOthers(ctx context.Context, t *testing.T, running *mesh.Mesh, stepAll func()) {
 	for _, name := range []string{"edge-2", "booking-2"} {
 		node := running.Node(name)
 		qt.Assert(t, node.Stop(ctx), qt.IsNil)
@@ -74,8 +74,9 @@
 	}
 }
 
-// open sends a request through an entry and returns the answer once it begins.
-func open(ctx context.Context, t *testing.T, entry, method, path string, body io.Reader, header map[string]string) *http.Response {
+// sendRequest sends a request to an entry and returns the response once its header has
+// arrived.
+func sendRequest(ctx context.Context, t *testing.T, entry, method, path string, body io.Reader, header map[string]string) *http.Response {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+entry+path, body)
 	qt.Assert(t, err, qt.IsNil)
 	request.Host = service
@@ -88,7 +89,7 @@
 }
 
 func openEvents(ctx context.Context, t *testing.T, entry string) session {
-	response := open(ctx, t, entry, http.MethodGet, "/events?count=1000000&interval-ms=5", nil, nil)
+	response := sendRequest(ctx, t, entry, http.MethodGet, "/events?count=1000000&interval-ms=5", nil, nil)
 	qt.Assert(t, response.StatusCode, qt.Equals, http.StatusOK)
 	lines := bufio.NewReader(response.Body)
 	number := 0
@@ -109,7 +110,7 @@
 func openDownload(ctx context.Context, t *testing.T, entry string) session {
 	const size, chunk = 1 << 20, 4 << 10
 	path := fmt.Sprintf("/download?bytes=%d&chunk=%d&interval-ms=20", size, chunk)
-	response := open(ctx, t, entry, http.MethodGet, path, nil, map[string]string{backend.HeaderRequest: "download"})
+	response := sendRequest(ctx, t, entry, http.MethodGet, path, nil, map[string]string{backend.HeaderRequest: "download"})
 	qt.Assert(t, response.StatusCode, qt.Equals, http.StatusOK)
 	rest := backend.Pattern("download", size)
 	return session{
--- a/test/integration/tls_test.go
+++ b/test/integration/tls_test.go
@@ -19,8 +19,8 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// TestMutualTLS runs node processes with keys: changes come into force and calls
-// are answered, while whoever has no key of the authority gets nothing.
+// TestMutualTLS runs node processes with TLS keys. Changes must come into force and calls
+// must be answered, while clients without a key of the fleet's authority get no answer.
 func TestMutualTLS(t *testing.T) {
 	t.Parallel()
 	authority, err := throwaway.NewAuthority()
@@ -37,46 +37,46 @@
 	calling.awaitMore(ctx, t, callsBefore, nil)
 	_, err = running.AwaitRevision(ctx, publishChange(t, running))
 	qt.Assert(t, err, qt.IsNil)
-	for name, dial := range strangers(t) {
-		for _, address := range []string{running.Node(victim).Inbound(), running.Node(victim).Peers()} {
-			got := askAsStranger(t, dial, address)
-			// net/http may say that it wants TLS; the node itself says nothing.
+	for name, dial := range untrustedDialers(t) {
+		for _, address := range []string{running.Node(targetNode).Inbound(), running.Node(targetNode).Peers()} {
+			got := sendUntrusted(t, dial, address)
+			// net/http may answer that it expects TLS, but the node itself must answer nothing.
 			qt.Check(t, got, qt.Not(qt.Contains), outcome.InternalPrefix, qt.Commentf("%s at %s", name, address))
 		}
 	}
-	qt.Check(t, running.Journal()(strangerCall).Started, qt.Equals, 0)
+	qt.Check(t, running.Journal()(untrustedCall).Started, qt.Equals, 0)
 	calling.awaitMore(ctx, t, callsBefore, nil)
 	results := calling.stop()
 	assertOnly(t, results, load.Answered)
-	assertKept(t, running, results)
+	assertGuarantees(t, running, results)
 }
 
-// strangerCall is the number of the request that strangers send.
-const strangerCall = "stranger"
+// untrustedCall is the id of the requests sent over untrusted connections.
+const untrustedCall = "untrusted"
 
 type dialer func(address string) (net.Conn, error)
 
-// strangers are ways to connect without a key of the fleet's authority.
-func strangers(t testing.TB) map[string]dialer {
+// untrustedDialers returns ways to connect without a key of the fleet's authority.
+func untrustedDialers(t testing.TB) map[string]dialer {
 	other, err := throwaway.NewAuthority()
 	qt.Assert(t, err, qt.IsNil)
-	pair, err := other.Issue(throwaway.Request{Name: "stranger"})
+	pair, err := other.Issue(throwaway.Request{Name: "untrusted"})
 	qt.Assert(t, err, qt.IsNil)
 	certificate, err := tls.X509KeyPair(pair.Certificate, pair.Key)
 	qt.Assert(t, err, qt.IsNil)
-	secured := &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{certificate}}
+	config := &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{certificate}}
 	return map[string]dialer{
-		"plain":                    func(address string) (net.Conn, error) { return net.Dial("tcp", address) },
-		"key of another authority": func(address string) (net.Conn, error) { return tls.Dial("tcp", address, secured) },
-		"secured without a key": func(address string) (net.Conn, error) {
+		"plain":                               func(address string) (net.Conn, error) { return net.Dial("tcp", address) },
+		"TLS with a key of another authority": func(address string) (net.Conn, error) { return tls.Dial("tcp", address, config) },
+		"TLS without a key": func(address string) (net.Conn, error) {
 			return tls.Dial("tcp", address, &tls.Config{InsecureSkipVerify: true})
 		},
 	}
 }
 
-// askAsStranger sends a request and returns all that comes until the node ends
-// the connection.
-func askAsStranger(t testing.TB, dial dialer, address string) string {
+// sendUntrusted sends a request and returns everything received until the node closes the
+// connection.
+func sendUntrusted(t testing.TB, dial dialer, address string) string {
 	conn, err := dial(address)
 	if err != nil {
 		return "" // refused while connecting
@@ -84,8 +84,8 @@
 	defer func() { _ = conn.Close() }()
 	deadline, _ := testContext(t).Deadline()
 	qt.Assert(t, conn.SetDeadline(deadline), qt.IsNil)
-	// Either may fail: the node may have ended the connection.
-	_, _ = fmt.Fprintf(conn, "GET /echo HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n\r\n", service, backend.HeaderRequest, strangerCall)
+	// Both the write and the read may fail, as the node may have closed the connection.
+	_, _ = fmt.Fprintf(conn, "GET /echo HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n\r\n", service, backend.HeaderRequest, untrustedCall)
 	got, err := io.ReadAll(conn)
 	qt.Check(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsFalse)
 	return string(got)
--- a/test/integration/whole_path_test.go
+++ b/test/integration/whole_path_test.go
@@ -20,8 +20,8 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// TestWholePath carries one policy from the platform to three nodes and one
-// request to a back end and back, with every part a process of its own.
+// TestWholePath distributes a policy from the platform to three nodes and sends a request
+// to a back end, with every component in a process of its own.
 func TestWholePath(t *testing.T) {
 	t.Parallel()
 	host := mesh.NextHost()
@@ -46,7 +46,7 @@
 		controls = append(controls, control)
 	}
 
-	awaitAnswer(t, operators)
+	awaitAdmin(t, operators)
 	version := submit(t, at("22001"), plan.Content.Policies[0])
 	watch := exec.Command(winchheadBinary, "watch", "--admin", operators, "--revision", "2", "--timeout", testTimeout.String())
 	output, err := watch.CombinedOutput()
@@ -57,10 +57,10 @@
 	call := load.Call{ID: "booking-1", Method: http.MethodPost, Host: "booking", Path: "/echo", BodyBytes: 2000, Timeout: 4 * time.Second}
 	result := load.Send(load.NewTransport(), entry, call, time.Now())
 	qt.Assert(t, result.Class, qt.Equals, load.Answered, qt.Commentf("%+v", result))
-	qt.Assert(t, journalOf(t, controls)(call.ID), qt.Equals, backend.Runs{Started: 1, Finished: 1})
+	qt.Assert(t, readJournals(t, controls)(call.ID), qt.Equals, backend.Runs{Started: 1, Finished: 1})
 }
 
-// startNode starts a node process and ends it with the test.
+// startNode starts a node process and stops it at the end of the test.
 func startNode(t testing.TB, node deployment.Node) {
 	arguments := []string{"node", "--settings", node.File}
 	for key, value := range node.Overrides {
@@ -75,8 +75,8 @@
 	})
 }
 
-// awaitAnswer waits until the operators' HTTP of a node answers.
-func awaitAnswer(t testing.TB, address string) {
+// awaitAdmin waits until the HTTP server for operators of a node answers.
+func awaitAdmin(t testing.TB, address string) {
 	ctx := testContext(t)
 	client := admin.NewClient(address)
 	for {
@@ -84,12 +84,12 @@
 		if err == nil {
 			return
 		}
-		qt.Assert(t, ctx.Err(), qt.IsNil, qt.Commentf("last answer: %v", err))
+		qt.Assert(t, ctx.Err(), qt.IsNil, qt.Commentf("last error: %v", err))
 	}
 }
 
-// awaitReady waits until a node says that it takes callers: an edge holds a version a moment
-// before it knows a back end.
+// awaitReady waits until a node reports that it accepts callers. An edge has a configuration
+// in force a moment before it knows a back end.
 func awaitReady(t testing.TB, address string) {
 	ctx := testContext(t)
 	for {
@@ -104,7 +104,7 @@
 	}
 }
 
-// submit gives the platform a policy, as an operator does.
+// submit publishes a policy through the platform's HTTP server for operators.
 func submit(t testing.TB, operators string, policy snapshot.Policy) snapshot.Version {
 	body, err := json.Marshal(policy)
 	qt.Assert(t, err, qt.IsNil)
@@ -117,8 +117,8 @@
 	return version
 }
 
-// journalOf reads the journals of back ends over their control HTTP.
-func journalOf(t testing.TB, controls []string) load.Journal {
+// readJournals reads the journals of back ends from their control HTTP servers.
+func readJournals(t testing.TB, controls []string) load.Journal {
 	var records []backend.JournalRecord
 	for _, control := range controls {
 		response, err := http.Get("http://" + control + backend.PathJournal)
