--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,6 +1,6 @@
-// Package app builds a node from its settings with a dig container and owns its
-// life cycle: ports first, then the parts, readiness, and the planned stop. Many
-// nodes may run in one process; nothing here is global.
+// Package app builds a node from its settings with a dig container and manages its
+// life cycle: opening ports, building the parts, readiness and the planned stop. It
+// keeps no global state, so that one process may run many nodes.
 package app
 
 import (
@@ -19,36 +19,36 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// Options are what the surroundings of a node give it.
+// Options are the inputs of a node that don't come from its settings.
 type Options struct {
 	// Logger is required.
 	Logger logrus.FieldLogger
-	// Registry gets the node's metrics; nil makes a new one that also holds the
-	// metrics of the process.
+	// Registry receives the node's metrics. Nil creates a new registry that also
+	// holds the metrics of the process.
 	Registry *prometheus.Registry
-	// Started is the time that the node takes its incarnation from; zero takes the
-	// clock.
+	// Started is the start time from which the node derives its incarnation. Zero
+	// means the current time.
 	Started time.Time
-	// Seed makes random choices repeatable; zero takes a random one.
+	// Seed makes random choices reproducible. Zero picks a random seed.
 	Seed uint64
-	// Timing replaces the intervals of the distribution; zero is the default.
+	// Timing replaces the intervals of the distribution. Zero means the defaults.
 	Timing distribution.Timing
 }
 
-// PartError tells which part of a node failed.
+// PartError reports which part of a node failed.
 type PartError struct {
 	Part string
 	Err  error
 }
 
-// Error names the part and the cause.
+// Error returns the name of the part and the cause.
 func (e *PartError) Error() string { return fmt.Sprintf("part %s failed: %v", e.Part, e.Err) }
 
 // Unwrap returns the cause.
 func (e *PartError) Unwrap() error { return e.Err }
 
-// SettingsError tells that the settings name something that cannot be used, such
-// as keys that don't belong together.
+// SettingsError reports settings that cannot be used, such as TLS keys that don't
+// belong together.
 type SettingsError struct{ Err error }
 
 // Error returns the cause.
@@ -71,8 +71,8 @@
 	edge bool
 }
 
-// New opens the node's ports and builds its parts; nothing runs yet. Call Run or
-// Close on the result. The error is a *SettingsError when other settings help.
+// New opens the node's ports and builds its parts without running anything. Call Run
+// or Close on the result. The error is a *SettingsError if the settings are at fault.
 func New(configured settings.Settings, options Options) (*App, error) {
 	opened, err := openListeners(configured)
 	if err != nil {
@@ -98,25 +98,27 @@
 	return node, nil
 }
 
-// Close frees the ports of an App that was never run.
+// Close closes the ports of an App that was never run.
 func (a *App) Close() { a.listeners.close() }
 
-// Addresses returns the bound addresses, also when the settings ask for port 0.
+// Addresses returns the bound addresses, which are known even if the settings ask for
+// port 0.
 func (a *App) Addresses() Addresses { return a.listeners.addresses() }
 
-// Ready is closed once the node holds a version and takes new work.
+// Ready returns a channel that is closed once the node has a configuration in force
+// and accepts new work.
 func (a *App) Ready() <-chan struct{} { return a.ready.done }
 
-// Current returns the configuration in force, or nil.
+// Current returns the configuration in force, or nil if there is none yet.
 func (a *App) Current() *snapshot.Snapshot { return a.parts.Applier.Current() }
 
-// Status tells what the node holds.
+// Status returns the state of the node in the distribution.
 func (a *App) Status() wire.StatusReply { return a.parts.Node.Status() }
 
-// Stats counts the traffic of the distribution.
+// Stats returns the traffic counters of the distribution.
 func (a *App) Stats() distribution.Stats { return a.parts.Node.Stats() }
 
-// selfRecord is what the node publishes about itself at first.
+// selfRecord returns the first record that the node publishes about itself.
 func selfRecord(configured settings.Settings, opened *listeners, now time.Time) membership.Record {
 	record := membership.Record{
 		Node:        membership.NodeID(configured.Node.Name),
@@ -124,17 +126,17 @@
 		State:       membership.StateStarting,
 		Region:      configured.Node.Region,
 		Zone:        configured.Node.Zone,
-		PeerAddress: advertised(configured.Peers.Advertise, boundAddress(opened.peers)),
+		PeerAddress: advertisedAddress(configured.Peers.Advertise, boundAddress(opened.peers)),
 	}
 	if opened.inbound != nil {
-		record.DataAddress = advertised(configured.Inbound.Advertise, boundAddress(opened.inbound))
+		record.DataAddress = advertisedAddress(configured.Inbound.Advertise, boundAddress(opened.inbound))
 		record.Service = configured.Inbound.Service
 		record.Slots = configured.Inbound.Slots
 	}
 	return record
 }
 
-func advertised(configured, bound string) string {
+func advertisedAddress(configured, bound string) string {
 	if configured != "" {
 		return configured
 	}
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -29,19 +29,20 @@
 	secretValue = "value-of-the-key"
 )
 
-// rig is a platform, a back end and nodes in this process.
-type rig struct {
+// harness holds an emulated platform, a back end and nodes, all in this process.
+type harness struct {
 	c        *qt.C
 	platform *platform.Platform
 	url      string
 	backend  *httptest.Server
-	// arrived gets the secret header of each request; hold delays its answer.
+	// arrived receives the secret header of each request. The back end answers once hold
+	// is closed.
 	arrived chan string
 	hold    chan struct{}
 	tls     settings.TLS // used by all nodes
 }
 
-func newRig(c *qt.C) *rig {
+func newHarness(c *qt.C) *harness {
 	emulated, err := platform.New(platform.Options{Content: snapshot.Content{
 		Services: []snapshot.Service{{Name: "reservas"}},
 		Secrets:  []snapshot.Secret{{Name: "key", Value: secretValue}},
@@ -49,7 +50,7 @@
 	c.Assert(err, qt.IsNil)
 	source := httptest.NewServer(emulated.Handler())
 	c.Cleanup(source.Close)
-	r := &rig{c: c, platform: emulated, url: source.URL, arrived: make(chan string, 1), hold: make(chan struct{})}
+	r := &harness{c: c, platform: emulated, url: source.URL, arrived: make(chan string, 1), hold: make(chan struct{})}
 	r.backend = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		r.arrived <- request.Header.Get("X-Key")
 		<-r.hold
@@ -59,7 +60,7 @@
 	return r
 }
 
-func (r *rig) settings(name string) settings.Settings {
+func (r *harness) settings(name string) settings.Settings {
 	loaded, err := settings.Load("", settings.Overrides{
 		"node.name": name, "node.region": "montevideo", "node.zone": "centro", "platform.url": r.url,
 		"peers.listen": "127.0.0.1:0", "outbound.listen": "127.0.0.1:0", "admin.listen": "127.0.0.1:0",
@@ -69,24 +70,25 @@
 	return loaded.Settings
 }
 
-// secure gives all nodes keys of one authority.
-func (r *rig) secure() {
+// enableTLS gives all nodes keys of one certificate authority.
+func (r *harness) enableTLS() {
 	authority, err := throwaway.NewAuthority()
 	r.c.Assert(err, qt.IsNil)
 	r.tls, err = authority.WriteNode(r.c.TempDir(), "node")
 	r.c.Assert(err, qt.IsNil)
 }
 
-// besideSettings are those of a node beside the back end.
-func (r *rig) besideSettings() settings.Settings {
+// sidecarSettings returns the settings of a node beside the back end.
+func (r *harness) sidecarSettings() settings.Settings {
 	beside := r.settings("centro-reservas")
 	beside.Inbound.Listen, beside.Inbound.Service = "127.0.0.1:0", "reservas"
 	beside.Inbound.Backend = r.backend.Listener.Addr().String()
 	return beside
 }
 
-// start runs a node, tells the platform's list of it and returns how to stop it.
-func (r *rig) start(configured settings.Settings, started time.Time) (node *App, stop func() error) {
+// start runs a node, adds it to the platform's list of members and returns a function
+// that stops it.
+func (r *harness) start(configured settings.Settings, started time.Time) (node *App, stop func() error) {
 	node, err := New(configured, Options{Logger: logging.Discard(), Started: started})
 	r.c.Assert(err, qt.IsNil)
 	r.platform.PutMember(membership.ListedMember{Node: membership.NodeID(configured.Node.Name),
@@ -101,17 +103,17 @@
 	}
 }
 
-// TestPolicyToAnsweredRequest takes one policy from the platform to three nodes
-// with TLS and a request through two of them, and stops the node that has the
+// TestPolicyToAnsweredRequest distributes a policy from the platform to three nodes with
+// TLS, sends a request through two of them, and stops the node that is serving the
 // request.
 func TestPolicyToAnsweredRequest(t *testing.T) {
 	alreadyRunning := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, alreadyRunning) })
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	c := qt.New(t)
-	r := newRig(c)
-	r.secure()
-	instance, stopInstance := r.start(r.besideSettings(), time.Time{})
+	r := newHarness(c)
+	r.enableTLS()
+	instance, stopInstance := r.start(r.sidecarSettings(), time.Time{})
 	edge, stopEdge := r.start(r.settings("centro-edge"), time.Time{})
 	other, stopOther := r.start(r.settings("other-edge"), time.Time{})
 	for _, node := range []*App{instance, edge, other} {
@@ -139,23 +141,23 @@
 	c.Assert(stopOther(), qt.IsNil)
 }
 
-// TestRestartWithTheClockSetBack restarts a node whose predecessor started later,
-// by the clock. The fleet knows it under an incarnation above both.
+// TestRestartWithTheClockSetBack restarts a node whose predecessor started at a later
+// time by the clock. The fleet has to see an incarnation above that of the predecessor.
 func TestRestartWithTheClockSetBack(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(c)
+	r := newHarness(c)
 	close(r.hold)
 	_, err := r.platform.Submit(snapshot.Policy{Name: "reservas.star", Program: policyProgram})
 	c.Assert(err, qt.IsNil)
 	now := time.Now()
 	edge, stopEdge := r.start(r.settings("centro-edge"), now)
-	former, stopFormer := r.start(r.besideSettings(), now)
+	former, stopFormer := r.start(r.sidecarSettings(), now)
 	<-edge.Ready()
 	<-former.Ready()
 	awaitInstance(edge, "reservas")
 	c.Assert(stopFormer(), qt.IsNil)
 
-	latter, stopLatter := r.start(r.besideSettings(), now.Add(-time.Hour))
+	latter, stopLatter := r.start(r.sidecarSettings(), now.Add(-time.Hour))
 	<-latter.Ready()
 	awaitInstance(edge, "reservas")
 	c.Assert(latter.Status().Incarnation > former.Status().Incarnation, qt.IsTrue)
@@ -164,7 +166,7 @@
 	c.Assert(stopEdge(), qt.IsNil)
 }
 
-// awaitVersion returns once the node holds the version.
+// awaitVersion waits until the node has the version in force.
 func awaitVersion(node *App, version snapshot.Version) {
 	changes, cancel := node.parts.Applier.Subscribe()
 	defer cancel()
@@ -173,8 +175,8 @@
 	}
 }
 
-// awaitInstance returns once the node sees an instance that takes work; the view
-// has no event to wait for.
+// awaitInstance waits until the node's view has an instance of the service that accepts
+// work. It polls, as the view notifies nobody of changes.
 func awaitInstance(node *App, service string) {
 	const pollInterval = time.Millisecond
 	for len(node.parts.Node.View().Endpoints(service)) == 0 {
@@ -195,19 +197,18 @@
 	return response.Status[:3] + " " + string(body)
 }
 
-// TestNewFreesItsPortsWhenOneIsTaken: a port of 127.0.0.1 that was free for a moment was taken by
-// another process of the same machine:
+// TestNewClosesItsPortsWhenOneIsTaken opens all ports twice, the first time with one of
+// them taken: a port that the first attempt left open fails the second. The ports are on
+// an address that only this test uses, because a port of 127.0.0.1 that was just free can
+// be taken by another process of the machine:
 //
 //	listen tcp 127.0.0.1:39257: bind: address already in use
-//
-// All ports are on an address that only this test listens on, and all are asked for twice: one that
-// the first attempt left open fails the second.
-func TestNewFreesItsPortsWhenOneIsTaken(t *testing.T) {
+func TestNewClosesItsPortsWhenOneIsTaken(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(c)
-	configured := r.besideSettings()
+	r := newHarness(c)
+	configured := r.sidecarSettings()
 	ports := freePorts(c, 5)
-	host := ownBlock()
+	host := nextAddressBlock()
 	for i, listen := range []*string{
 		&configured.Peers.Listen, &configured.Outbound.Listen, &configured.Inbound.Listen, &configured.Admin.Listen, &configured.Admin.MetricsListen,
 	} {
@@ -225,7 +226,7 @@
 
 func TestFailureOfOnePartEndsTheNode(t *testing.T) {
 	c := qt.New(t)
-	node, err := New(newRig(c).settings("centro-edge"), Options{Logger: logging.Discard()})
+	node, err := New(newHarness(c).settings("centro-edge"), Options{Logger: logging.Discard()})
 	c.Assert(err, qt.IsNil)
 	c.Assert(node.listeners.admin.Close(), qt.IsNil)
 	var failed *PartError
--- a/internal/app/claims.go
+++ b/internal/app/claims.go
@@ -13,11 +13,11 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-func newReplica(registerer prometheus.Registerer) (*claim.Replica, error) {
+func newClaimReplica(registerer prometheus.Registerer) (*claim.Replica, error) {
 	return claim.NewReplica(registerer)
 }
 
-// claimInputs are what the memory of claimed keys is built from.
+// claimInputs are the dependencies of the memory of claimed keys.
 type claimInputs struct {
 	dig.In
 
@@ -29,7 +29,8 @@
 	Registerer prometheus.Registerer
 }
 
-// newClaims returns nil for a node without a back end, and when claims are off.
+// newClaims returns nil for a node without a back end, if claims are turned off, and
+// if the platform is a store.
 func newClaims(inputs claimInputs) (*claim.Memory, error) {
 	configured := inputs.Settings.Inbound
 	if inputs.Listeners.inbound == nil || configured.RepeatReplicas == 0 || inputs.Settings.Platform.Kind == settings.PlatformStore {
--- a/internal/app/container.go
+++ b/internal/app/container.go
@@ -25,8 +25,8 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// parts are what the container builds. Outbound, Inbound and Claims are nil when
-// the settings turn them off.
+// parts are the objects that the container builds. Outbound, Inbound, Claims and
+// Dataplane are nil if the settings turn them off.
 type parts struct {
 	dig.In
 
@@ -35,7 +35,7 @@
 	Applier   *configuration.Applier
 	Node      *distribution.Node
 	Readiness *readiness
-	Fleet     *fleetWatch
+	BackEnds  *backEndWatcher
 	Outbound  *outbound.Proxy
 	Inbound   *inbound.Proxy
 	Claims    *claim.Memory
@@ -44,8 +44,8 @@
 	Admin     *admin.Server
 }
 
-// build fills a container with the constructors of all parts and takes the parts
-// from it.
+// build registers the constructors of all parts with a container and returns the parts
+// that it builds.
 func build(configured settings.Settings, options Options, opened *listeners) (parts, error) {
 	container := dig.New()
 	constructors := []any{
@@ -54,16 +54,16 @@
 		func() *listeners { return opened },
 		func() logrus.FieldLogger { return options.Logger },
 		newRegistry,
-		newSelf,
+		newSelfRecord,
 		newKeys,
 		newSource,
 		newApplier,
-		newReplica,
+		newClaimReplica,
 		suspects.NewLedger,
 		newDistribution,
 		newClaims,
 		newNodeReadiness,
-		newFleetWatch,
+		newBackEndWatcher,
 		newFleetChanges,
 		newOutbound,
 		newInbound,
@@ -72,7 +72,7 @@
 	}
 	for _, constructor := range constructors {
 		if err := container.Provide(constructor); err != nil {
-			return parts{}, eris.Wrap(err, "wire the node")
+			return parts{}, eris.Wrap(err, "register a constructor of the node")
 		}
 	}
 	if err := container.Invoke(registerMetrics); err != nil {
@@ -94,13 +94,13 @@
 	}
 	for _, collector := range process {
 		if err := registry.Register(collector); err != nil {
-			return nil, nil, eris.Wrap(err, "register the metrics of the process")
+			return nil, nil, eris.Wrap(err, "register the process metrics")
 		}
 	}
 	return registry, registry, nil
 }
 
-func newSelf(configured settings.Settings, options Options, opened *listeners) membership.Record {
+func newSelfRecord(configured settings.Settings, options Options, opened *listeners) membership.Record {
 	started := options.Started
 	if started.IsZero() {
 		started = time.Now()
@@ -125,7 +125,7 @@
 	})
 }
 
-// distributionInputs are what the distribution is built from.
+// distributionInputs are the dependencies of the distribution.
 type distributionInputs struct {
 	dig.In
 
@@ -136,7 +136,7 @@
 	Keys      *keys.Keys
 	Source    sourceReader
 	Applier   *configuration.Applier
-	Fleet     *fleetWatch
+	Adopter   *backEndWatcher
 	Replica   *claim.Replica
 	Suspects  *suspects.Ledger
 	Changes   *fleetChanges
@@ -160,19 +160,19 @@
 		TLS:            inputs.Keys.NodeConfig(),
 		Configuration:  inputs.Source,
 		Members:        inputs.Source,
-		Adopter:        inputs.Fleet,
+		Adopter:        inputs.Adopter,
 		Logger:         logging.Part(inputs.Options.Logger, "distribution"),
 		Seed:           seed,
 		Timing:         timing,
-		Generation:     func() uint64 { return generation(inputs.Applier) },
+		Generation:     func() uint64 { return currentGeneration(inputs.Applier) },
 		ReadersPerZone: inputs.Settings.Peers.ReadersPerZone,
 		MaxLinks:       inputs.Settings.Peers.MaxLinks,
 
 		SourceIsCurrent: inputs.Settings.Platform.Kind == settings.PlatformStore,
 		ServeClaims:     func(stream *distribution.ClaimStream) { inputs.Replica.Serve(stream) },
-		CrashesLearned:  learnCrashes(inputs.Suspects, logging.Part(inputs.Options.Logger, "suspects")),
+		CrashesLearned:  newCrashHandler(inputs.Suspects, logging.Part(inputs.Options.Logger, "suspects")),
 
-		FleetChangesLearned: inputs.Changes.learn,
+		FleetChangesLearned: inputs.Changes.apply,
 	})
 	if err != nil {
 		return nil, err
@@ -184,8 +184,9 @@
 	return node, nil
 }
 
-// generation returns that of the snapshot in force, or 0.
-func generation(applier *configuration.Applier) uint64 {
+// currentGeneration returns the generation of the snapshot in force, or 0 if there is
+// none.
+func currentGeneration(applier *configuration.Applier) uint64 {
 	current := applier.Current()
 	if current == nil {
 		return 0
@@ -193,24 +194,25 @@
 	return current.Generation()
 }
 
-// besideBackEnd reports whether the back end beside the node decides when it is ready.
-func besideBackEnd(opened *listeners, configured settings.Settings) bool {
+// backEndDecidesReadiness reports whether the node is ready only while the back end
+// beside it is.
+func backEndDecidesReadiness(opened *listeners, configured settings.Settings) bool {
 	return opened.inbound != nil && configured.Platform.Kind == settings.PlatformDocuments
 }
 
-// isEdge reports whether the node sends requests to others only, of which it learns from its
-// peers. Beside a store the configuration in force names the instances.
+// isEdge reports whether the node only sends requests to other nodes, which it learns
+// of from its peers. With a store, the configuration in force names the instances.
 func isEdge(opened *listeners, configured settings.Settings) bool {
 	return opened.inbound == nil && opened.outbound != nil && configured.Platform.Kind == settings.PlatformDocuments
 }
 
 func newNodeReadiness(node *distribution.Node, opened *listeners, configured settings.Settings) *readiness {
-	// A store lists the instances themselves: the node's own state says nothing of
-	// the one beside it.
-	return newReadiness(node, besideBackEnd(opened, configured))
+	// A store lists the instances themselves, so the state that the node publishes
+	// doesn't depend on the instance beside it.
+	return newReadiness(node, backEndDecidesReadiness(opened, configured))
 }
 
-// proxyInputs are what both proxies are built from.
+// proxyInputs are the dependencies of the outbound and the inbound proxy.
 type proxyInputs struct {
 	dig.In
 
@@ -260,7 +262,7 @@
 	return inbound.New(options)
 }
 
-// adminInputs are what the operators' HTTP is built from.
+// adminInputs are the dependencies of the HTTP server for operators.
 type adminInputs struct {
 	dig.In
 
--- a/internal/app/fleetchanges.go
+++ b/internal/app/fleetchanges.go
@@ -12,28 +12,29 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// fleetChanges puts changes of instances and evacuations in force that came ahead of their
-// documents, and measures how old they were.
+// fleetChanges applies changes of instances and evacuations that arrive ahead of their
+// documents, and records how old they were on arrival.
 type fleetChanges struct {
 	applier *configuration.Applier
 	age     prometheus.Histogram
 }
 
-// changeAges are the bounds of the ages in seconds: links take milliseconds, a reader gathers
-// for 0.25 s, and 2 s is what operators allow.
-var changeAges = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2}
+// changeAgeBuckets are the histogram's bounds in seconds. Links take milliseconds, a
+// reader collects changes for 0.25 s, and operators allow 2 s.
+var changeAgeBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2}
 
 func newFleetChanges(applier *configuration.Applier, registerer prometheus.Registerer) (*fleetChanges, error) {
 	created := &fleetChanges{applier: applier, age: prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "winchhead_fleet_change_age_seconds",
 		Help:    "Time from the reading of a change of an instance or evacuation until this node had it ahead of a document.",
-		Buckets: changeAges,
+		Buckets: changeAgeBuckets,
 	})}
-	return created, eris.Wrap(registerer.Register(created.age), "register the metrics of changes")
+	return created, eris.Wrap(registerer.Register(created.age), "register the metric of fleet changes")
 }
 
-// learn takes over changes that are new to this node. It does not block for long.
-func (f *fleetChanges) learn(learned []distribution.AgedChange) {
+// apply puts changes that are new to this node in force and returns without waiting
+// for anything slow.
+func (f *fleetChanges) apply(learned []distribution.AgedChange) {
 	now := clock.Now()
 	changes := make([]snapshot.Change, len(learned))
 	for i, change := range learned {
--- a/internal/app/listeners.go
+++ b/internal/app/listeners.go
@@ -8,8 +8,8 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// listeners are the open ports of a node. Those that the settings turn off are nil:
-// outbound, inbound and metrics.
+// listeners are the open ports of a node. outbound, inbound and metrics are nil if the
+// settings turn them off.
 type listeners struct {
 	peers    net.Listener
 	outbound net.Listener
@@ -18,7 +18,7 @@
 	metrics  net.Listener
 }
 
-// openListeners opens all ports that the settings name, or none.
+// openListeners opens all ports that the settings name. If one fails, it closes the others.
 func openListeners(configured settings.Settings) (*listeners, error) {
 	opened := &listeners{}
 	wanted := []struct {
@@ -45,7 +45,7 @@
 	return opened, nil
 }
 
-// inboundAddress returns "" for a node without a back end.
+// inboundAddress returns the address to listen on, or "" for a node without a back end.
 func inboundAddress(configured settings.Settings) string {
 	if configured.Inbound.Service == "" {
 		return ""
@@ -56,12 +56,12 @@
 func (l *listeners) close() {
 	for _, listener := range []net.Listener{l.peers, l.outbound, l.inbound, l.admin, l.metrics} {
 		if listener != nil {
-			_ = listener.Close() // a listener that is closed already is fine
+			_ = listener.Close() // it may have been closed already
 		}
 	}
 }
 
-// Addresses are the bound addresses of a node (IP:port); empty ones are off.
+// Addresses are the bound addresses of a node (IP:port). Empty ones are turned off.
 type Addresses struct {
 	Peers    string
 	Outbound string
--- a/internal/app/metrics.go
+++ b/internal/app/metrics.go
@@ -11,24 +11,24 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// registerMetrics registers the metrics of parts that only count.
-func registerMetrics(registerer prometheus.Registerer, node *distribution.Node, held *keys.Keys, ledger *suspects.Ledger) error {
+// registerMetrics registers the metrics of parts that only keep counters.
+func registerMetrics(registerer prometheus.Registerer, node *distribution.Node, loaded *keys.Keys, ledger *suspects.Ledger) error {
 	if err := registerer.Register(newDistributionCollector(node)); err != nil {
 		return err
 	}
 	if err := registerSuspects(registerer, ledger); err != nil {
 		return err
 	}
-	if held == nil {
+	if loaded == nil {
 		return nil
 	}
 	return registerer.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "winchhead_tls_certificate_expiry_timestamp_seconds",
 		Help: "End of the node's certificate in Unix seconds.",
-	}, func() float64 { return float64(held.Expires().Unix()) }))
+	}, func() float64 { return float64(loaded.Expires().Unix()) }))
 }
 
-// distributionCollector shows the counters of a distribution node.
+// distributionCollector exports the counters of a distribution node as metrics.
 type distributionCollector struct {
 	node *distribution.Node
 
--- a/internal/app/page_test.go
+++ b/internal/app/page_test.go
@@ -14,36 +14,36 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// TestOperationsPageListsMetricsAndReasons keeps the page and the code together.
-// Metrics that only appear with an event are not seen here.
+// TestOperationsPageListsMetricsAndReasons checks that OPERATIONS.md lists every metric
+// and every reason. Metrics that only appear with an event are not checked.
 func TestOperationsPageListsMetricsAndReasons(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	c.Assert(err, qt.IsNil)
-	r := newRig(c)
-	r.secure()
+	r := newHarness(c)
+	r.enableTLS()
 	registry := prometheus.NewRegistry()
-	node, err := New(r.besideSettings(), Options{Logger: logging.Discard(), Registry: registry})
+	node, err := New(r.sidecarSettings(), Options{Logger: logging.Discard(), Registry: registry})
 	c.Assert(err, qt.IsNil)
 	defer node.Close()
 	families, err := registry.Gather()
 	c.Assert(err, qt.IsNil)
 	for _, family := range families {
 		row := "| `" + family.GetName() + "` | " + family.GetHelp() + " |"
-		c.Check(strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("the page lacks: %s", row))
+		c.Check(strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("OPERATIONS.md has no line: %s", row))
 	}
 	for _, reason := range outcome.Reasons() {
-		c.Check(strings.Contains(string(page), "| `"+string(reason)+"` |"), qt.IsTrue, qt.Commentf("the page lacks: %s", reason))
+		c.Check(strings.Contains(string(page), "| `"+string(reason)+"` |"), qt.IsTrue, qt.Commentf("OPERATIONS.md has no reason: %s", reason))
 	}
 }
 
-// TestOperationsPageListsMetricsOfTheDataPlane does the same for a node whose
-// platform is a store.
+// TestOperationsPageListsMetricsOfTheDataPlane checks the same for a node whose platform
+// is a store.
 func TestOperationsPageListsMetricsOfTheDataPlane(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	c.Assert(err, qt.IsNil)
-	r := newStoreRig(t, []string{"data"}, nil)
+	r := newStoreHarness(t, []string{"data"}, nil)
 	registry := prometheus.NewRegistry()
 	node, err := New(r.settings(0, r.url), Options{Logger: logging.Discard(), Registry: registry})
 	c.Assert(err, qt.IsNil)
@@ -56,6 +56,6 @@
 		parts := listed.FindStringSubmatch(description.String())
 		c.Assert(parts, qt.HasLen, 3)
 		row := "| `" + parts[1] + "` | " + parts[2] + " |"
-		c.Check(strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("the page lacks: %s", row))
+		c.Check(strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("OPERATIONS.md has no line: %s", row))
 	}
 }
--- a/internal/app/run.go
+++ b/internal/app/run.go
@@ -15,12 +15,13 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// errPlannedStop ends all parts after a planned stop.
+// errPlannedStop makes the group of tasks end after a planned stop.
 var errPlannedStop = errors.New("planned stop")
 
-// Run runs the node. When ctx ends it makes a planned stop and returns nil: the
-// node announces that it leaves, finishes what it has and leaves the fleet. When
-// a part fails it ends the others at once and returns a *PartError.
+// Run runs the node until ctx ends or a part fails. When ctx ends, the node makes a
+// planned stop: it announces that it leaves, finishes the requests in progress and
+// leaves the fleet, and Run returns nil. When a part fails, Run ends the others at once
+// and returns a *PartError.
 func (a *App) Run(ctx context.Context) error {
 	defer a.closeAll()
 	a.logStart()
@@ -50,7 +51,7 @@
 	return err
 }
 
-// task is what one part does until its context ends.
+// task is the work of one part, which ends with its context.
 type task struct {
 	name string
 	run  func(ctx context.Context) error
@@ -59,7 +60,7 @@
 func (a *App) tasks() []task {
 	tasks := []task{
 		{"configuration", a.parts.Applier.Run},
-		{"readiness", a.followConfiguration},
+		{"readiness", a.awaitReadiness},
 		{"distribution", a.parts.Node.Run},
 		{"keys", a.reloadKeys},
 		{"traffic", a.logTraffic},
@@ -83,17 +84,17 @@
 		}})
 	}
 	if a.parts.Inbound != nil {
-		tasks = append(tasks, task{"back end reports", a.readReports})
+		tasks = append(tasks, task{"back end reports", a.watchBackEnd})
 		tasks = append(tasks, task{"inbound", func(ctx context.Context) error {
-			return serve(ctx, a.inboundServer, secured(a.listeners.inbound, a.parts.Keys.ServerConfig()))
+			return serve(ctx, a.inboundServer, withTLS(a.listeners.inbound, a.parts.Keys.ServerConfig()))
 		}})
 	}
 	return tasks
 }
 
-// followConfiguration waits for the first version, and at an edge for the first node to
-// which requests can go.
-func (a *App) followConfiguration(ctx context.Context) error {
+// awaitReadiness waits for the first configuration, and at an edge also for the first
+// back end that accepts work, and then marks the node as configured.
+func (a *App) awaitReadiness(ctx context.Context) error {
 	changes, cancel := a.parts.Applier.Subscribe()
 	defer cancel()
 	for a.parts.Applier.Current() == nil {
@@ -107,14 +108,14 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-a.parts.Fleet.known:
+		case <-a.parts.BackEnds.available:
 		}
 	}
-	a.ready.holdVersion()
+	a.ready.markConfigured()
 	return nil
 }
 
-func (a *App) readReports(ctx context.Context) error {
+func (a *App) watchBackEnd(ctx context.Context) error {
 	a.parts.Inbound.Run(ctx)
 	return nil
 }
@@ -124,12 +125,13 @@
 	return nil
 }
 
-// trafficInterval is the time between two lines about the traffic of distribution.
-const trafficInterval = 10 * time.Second
+// trafficLogInterval is the time between two log lines about distribution traffic.
+const trafficLogInterval = 10 * time.Second
 
-// logTraffic writes what distribution cost so far, for winchhead convergence.
+// logTraffic logs the bytes that distribution has transferred so far, which the command
+// winchhead convergence reads.
 func (a *App) logTraffic(ctx context.Context) error {
-	for wait.For(ctx, trafficInterval) == nil {
+	for wait.For(ctx, trafficLogInterval) == nil {
 		stats := a.Stats()
 		a.logger.WithFields(logrus.Fields{
 			convergence.FieldLinkBytes:   stats.LinkBytes(),
@@ -139,33 +141,35 @@
 	return nil
 }
 
-// drain is the planned stop up to the point where nothing is in progress.
+// drain starts the planned stop and returns once no request is in progress or the grace
+// period has ended.
 func (a *App) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, a.grace)
 	defer cancel()
 	a.logger.WithField("grace", a.grace.String()).Info("leaving: no new work")
 	a.ready.stop()
 	if a.parts.Dataplane != nil {
-		a.logDrain("data plane", a.parts.Dataplane.Drain(ctx))
+		a.logDrainError("data plane", a.parts.Dataplane.Drain(ctx))
 	}
 	if a.parts.Inbound != nil {
-		a.logDrain("inbound", a.parts.Inbound.Drain(ctx))
+		a.logDrainError("inbound", a.parts.Inbound.Drain(ctx))
 	}
 	if a.parts.Outbound != nil {
-		a.logDrain("outbound", a.parts.Outbound.Drain(ctx))
+		a.logDrainError("outbound", a.parts.Outbound.Drain(ctx))
 	}
 	if a.inboundServer != nil {
-		a.logDrain("inbound", a.inboundServer.Shutdown(ctx))
+		a.logDrainError("inbound", a.inboundServer.Shutdown(ctx))
 	}
 }
 
-func (a *App) logDrain(proxy string, err error) {
+func (a *App) logDrainError(proxy string, err error) {
 	if err != nil {
-		a.logger.WithError(err).Warnf("the grace is over, cutting what the %s proxy still has", proxy)
+		a.logger.WithError(err).Warnf("the grace period is over, cutting the requests in progress at the %s proxy", proxy)
 	}
 }
 
-// closeAll frees what the parts hold. Errors of closing say nothing new here.
+// closeAll closes all parts. It ignores their errors, since they cannot be acted upon
+// here.
 func (a *App) closeAll() {
 	if a.parts.Inbound != nil {
 		a.parts.Inbound.Close()
@@ -190,7 +194,7 @@
 		WithField("admin", addresses.Admin).Info("started")
 }
 
-// serve answers on the listener until ctx ends or the server is shut down.
+// serve handles requests on the listener until ctx ends or the server is shut down.
 func serve(ctx context.Context, server *http.Server, listener net.Listener) error {
 	release := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer release()
@@ -201,7 +205,7 @@
 	return err
 }
 
-func secured(listener net.Listener, config *tls.Config) net.Listener {
+func withTLS(listener net.Listener, config *tls.Config) net.Listener {
 	if config == nil {
 		return listener
 	}
--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -6,40 +6,40 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// ownState decides what the node says about itself.
+// ownState holds what determines the state that the node publishes about itself.
 type ownState struct {
-	// holdsVersion is set once a configuration is in force.
-	holdsVersion bool
-	// backend is the state of the back end beside the node; StateReady for a node
+	// hasConfiguration is set once a configuration is in force.
+	hasConfiguration bool
+	// backend is the state of the back end beside the node, or StateReady for a node
 	// without one.
 	backend membership.State
-	// stopping is set by a planned stop and stays.
+	// stopping is set by a planned stop and never reset.
 	stopping bool
 }
 
-// published returns the state that other nodes are told.
+// published returns the state to publish to other nodes.
 func (s ownState) published() membership.State {
 	switch {
 	case s.stopping:
 		return membership.StateDraining
-	case !s.holdsVersion:
+	case !s.hasConfiguration:
 		return membership.StateStarting
 	default:
 		return s.backend
 	}
 }
 
-// publisher is the part of distribution.Fleet that tells other nodes.
+// publisher is the part of the distribution that publishes the node's state.
 type publisher interface {
 	SetState(state membership.State)
 }
 
-// readiness publishes the node's state whenever what it depends on changes. It
-// is the only caller of the fleet's SetState.
+// readiness publishes the node's state whenever one of its inputs changes. Nothing else
+// calls the fleet's SetState.
 type readiness struct {
 	fleet publisher
-	// done is closed when the node is ready for the first time, leaving when it
-	// publishes that it leaves.
+	// done is closed when the node is ready for the first time, leaving when it has
+	// published that it leaves.
 	done, leaving chan struct{}
 
 	mutex sync.Mutex
@@ -47,7 +47,7 @@
 	once  sync.Once // guards done
 }
 
-// newReadiness returns the readiness of a node that holds nothing yet.
+// newReadiness returns the readiness of a node without a configuration.
 func newReadiness(fleet publisher, hasBackend bool) *readiness {
 	state := ownState{backend: membership.StateReady}
 	if hasBackend {
@@ -56,23 +56,23 @@
 	return &readiness{fleet: fleet, done: make(chan struct{}), leaving: make(chan struct{}), state: state}
 }
 
-// SetState takes the state of the back end from the inbound proxy.
+// SetState sets the state of the back end, as reported by the inbound proxy.
 func (r *readiness) SetState(backend membership.State) {
-	r.change(func(state *ownState) { state.backend = backend })
+	r.update(func(state *ownState) { state.backend = backend })
 }
 
-// holdVersion tells that a configuration is in force.
-func (r *readiness) holdVersion() {
-	r.change(func(state *ownState) { state.holdsVersion = true })
+// markConfigured records that a configuration is in force.
+func (r *readiness) markConfigured() {
+	r.update(func(state *ownState) { state.hasConfiguration = true })
 }
 
-// stop tells that the node leaves. It is called once.
+// stop publishes that the node leaves. It must be called only once.
 func (r *readiness) stop() {
-	r.change(func(state *ownState) { state.stopping = true })
+	r.update(func(state *ownState) { state.stopping = true })
 	close(r.leaving)
 }
 
-func (r *readiness) change(edit func(state *ownState)) {
+func (r *readiness) update(edit func(state *ownState)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	edit(&r.state)
--- a/internal/app/state_test.go
+++ b/internal/app/state_test.go
@@ -14,13 +14,13 @@
 		state ownState
 		want  membership.State
 	}{
-		{"edge without version", ownState{backend: membership.StateReady}, membership.StateStarting},
-		{"edge", ownState{holdsVersion: true, backend: membership.StateReady}, membership.StateReady},
-		{"back end not ready", ownState{holdsVersion: true, backend: membership.StateStarting}, membership.StateStarting},
-		{"back end leaves", ownState{holdsVersion: true, backend: membership.StateDraining}, membership.StateDraining},
-		{"back end ready, no version", ownState{backend: membership.StateReady}, membership.StateStarting},
-		{"planned stop", ownState{holdsVersion: true, backend: membership.StateReady, stopping: true}, membership.StateDraining},
-		{"planned stop before the first version", ownState{stopping: true}, membership.StateDraining},
+		{"edge without a configuration", ownState{backend: membership.StateReady}, membership.StateStarting},
+		{"edge", ownState{hasConfiguration: true, backend: membership.StateReady}, membership.StateReady},
+		{"back end not ready", ownState{hasConfiguration: true, backend: membership.StateStarting}, membership.StateStarting},
+		{"back end draining", ownState{hasConfiguration: true, backend: membership.StateDraining}, membership.StateDraining},
+		{"back end ready, no configuration", ownState{backend: membership.StateReady}, membership.StateStarting},
+		{"planned stop", ownState{hasConfiguration: true, backend: membership.StateReady, stopping: true}, membership.StateDraining},
+		{"planned stop before the first configuration", ownState{stopping: true}, membership.StateDraining},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -29,22 +29,22 @@
 	}
 }
 
-// recorder keeps the states that were published.
+// recorder records the published states.
 type recorder struct{ states []membership.State }
 
 func (r *recorder) SetState(state membership.State) { r.states = append(r.states, state) }
 
-func TestReadinessIsReachedOnceAndStopStays(t *testing.T) {
+func TestReadinessIsReachedOnceAndStopIsFinal(t *testing.T) {
 	c := qt.New(t)
 	published := &recorder{}
 	own := newReadiness(published, true)
 	own.SetState(membership.StateReady)
 	select {
 	case <-own.done:
-		c.Fatal("ready without a version")
+		c.Fatal("ready without a configuration")
 	default:
 	}
-	own.holdVersion()
+	own.markConfigured()
 	<-own.done
 	own.stop()
 	own.SetState(membership.StateReady)
--- a/internal/app/store.go
+++ b/internal/app/store.go
@@ -28,14 +28,14 @@
 	"github.com/winchhead/winchhead/platform"
 )
 
-// sourceReader reads the platform, whatever it speaks.
+// sourceReader reads the configuration and the members from the platform, of either kind.
 type sourceReader interface {
 	source.ConfigurationReader
 	source.MemberReader
 	Close()
 }
 
-// storeReader is a mirror with the adapter that it reads through.
+// storeReader is a mirror together with the store adapter that it reads through.
 type storeReader struct {
 	*mirror.Mirror
 	store *platform.Store
@@ -64,8 +64,8 @@
 	followed, err := mirror.New(mirror.Options{
 		Store:      store,
 		Logger:     logging.Part(logger, "mirror"),
-		MemberOf:   memberBeside(configured, regions),
-		Validate:   compiles,
+		MemberOf:   sidecarOf(configured, regions),
+		Validate:   validateConfiguration,
 		Timeout:    configured.Platform.Timeout,
 		Registerer: registerer,
 		NoGrace:    !configured.Mechanisms.LapseGrace,
@@ -73,8 +73,8 @@
 	return storeReader{Mirror: followed, store: store}, err
 }
 
-// compiles reports why a configuration cannot come into force.
-func compiles(configuration *mirror.Configuration) error {
+// validateConfiguration returns why a configuration cannot come into force, or nil.
+func validateConfiguration(configuration *mirror.Configuration) error {
 	document, err := snapshot.NewDocument(snapshot.Content{
 		Revision: 1, Services: configuration.Services, Routes: configuration.Routes, Limits: configuration.Limits,
 	})
@@ -85,7 +85,8 @@
 	return err
 }
 
-// parseZones reads the setting platform.zones.
+// parseZones parses the setting platform.zones, a list of zone=region pairs, and returns
+// the region of each zone.
 func parseZones(text string) (map[string]string, error) {
 	regions := make(map[string]string)
 	for pair := range strings.SplitSeq(text, ",") {
@@ -94,16 +95,16 @@
 		}
 		zone, region, found := strings.Cut(pair, "=")
 		if !found || zone == "" || region == "" {
-			return nil, eris.Errorf("platform.zones: %q is not zone=region", pair)
+			return nil, eris.Errorf("platform.zones: %q is not of the form zone=region", pair)
 		}
 		regions[zone] = region
 	}
 	return regions, nil
 }
 
-// memberBeside tells which node runs beside an instance: it has the instance's IP,
-// by which it is named, and its ports are the same on all machines.
-func memberBeside(configured settings.Settings, regions map[string]string) func(snapshot.Instance) (membership.ListedMember, bool) {
+// sidecarOf returns a function that returns the sidecar of an instance. The sidecar has
+// the instance's IP address, which is also its name, and the same ports on all machines.
+func sidecarOf(configured settings.Settings, regions map[string]string) func(snapshot.Instance) (membership.ListedMember, bool) {
 	peerPort := outbound.PortOf(configured.Peers.Listen)
 	return func(instance snapshot.Instance) (membership.ListedMember, bool) {
 		address, err := netip.ParseAddrPort(instance.Address)
@@ -125,11 +126,12 @@
 	}
 }
 
-// stopMargin is what a planned stop leaves of the grace for its own end.
+// stopMargin is the part of the grace period that a planned stop keeps for its own
+// cleanup.
 const stopMargin = 250 * time.Millisecond
 
-// drainTime is how long a planned stop may wait for requests. Beside a store, the
-// grace is the time after which the process is killed.
+// drainTime returns how long a planned stop may wait for requests in progress. With a
+// store, the process is killed when the grace period ends, so the stop ends earlier.
 func drainTime(configured settings.Settings) time.Duration {
 	grace := configured.Inbound.DrainGrace
 	if configured.Platform.Kind == settings.PlatformStore {
@@ -138,7 +140,7 @@
 	return grace
 }
 
-// dataplaneInputs are what the data plane is built from.
+// dataplaneInputs are the dependencies of the data plane.
 type dataplaneInputs struct {
 	dig.In
 
@@ -150,8 +152,8 @@
 	Registerer prometheus.Registerer
 }
 
-// defaultIdleTimeout is how long callers' connections rest when the configuration
-// names no time.
+// defaultIdleTimeout is how long connections of callers may be idle if the
+// configuration sets no time.
 const defaultIdleTimeout = 60 * time.Second
 
 // newDataplane returns nil unless the platform is a store.
@@ -171,7 +173,7 @@
 		Backend:   configured.Inbound.Backend,
 		Slots:     configured.Inbound.Slots,
 		NodePort:  outbound.PortOf(configured.Inbound.Listen),
-		Budget:    budgetOf(configured),
+		Budget:    retryBudget(configured),
 		Suspects:  inputs.Suspects,
 		Cold:      inbound.ColdBounds{Overage: configured.Inbound.ColdOverage, Slack: configured.Inbound.ColdSlack},
 
@@ -189,20 +191,20 @@
 	})
 }
 
-// bytesPerMegabit turns the setting node.link_mbps to bytes a second.
+// bytesPerMegabit converts the setting node.link_mbps to bytes per second.
 const bytesPerMegabit = 1e6 / 8
 
-func budgetOf(configured settings.Settings) budget.Options {
+func retryBudget(configured settings.Settings) budget.Options {
 	return budget.Options{
 		Ratio: configured.Retries.Ratio, Slack: configured.Retries.Slack, Window: configured.Retries.Window,
 		FirstStart: configured.Retries.FirstStart,
 	}
 }
 
-// Reconfigure takes over what can change while the node runs: the bounds of
-// retries. The settings are checked.
+// Reconfigure applies the settings that can change while the node runs: the limits of
+// retries. The settings must be valid.
 func (a *App) Reconfigure(configured settings.Settings) {
 	if a.parts.Dataplane != nil {
-		a.parts.Dataplane.SetBudget(budgetOf(configured))
+		a.parts.Dataplane.SetBudget(retryBudget(configured))
 	}
 }
--- a/internal/app/store_body_test.go
+++ b/internal/app/store_body_test.go
@@ -16,11 +16,11 @@
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 )
 
-// uploadBytes is the largest body of the users' pages.
+// uploadBytes is the largest body that the users' documentation mentions.
 const uploadBytes = 360_000
 
-// upload sends a large body to the node of a machine, whose instance does not serve it.
-func (r *storeRig) upload(index int, path, id string, body []byte) answer {
+// upload sends a request with a large body to the node of a machine.
+func (r *storeHarness) upload(index int, path, id string, body []byte) answer {
 	r.c.Helper()
 	request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s:%d%s", r.machines[index].ip, r.outbound, path), bytes.NewReader(body))
 	r.c.Assert(err, qt.IsNil)
@@ -35,24 +35,25 @@
 	return answer{response.StatusCode, response.Header, string(content)}
 }
 
-// TestStoreLargeBody: a large body that may run once comes whole and unchanged through
-// two nodes, and runs once at most, whatever the instance does.
+// TestStoreLargeBody checks that a large body of a request that may not be repeated
+// arrives whole and unchanged through two nodes, and that the request runs at most once
+// however the instance fails.
 func TestStoreLargeBody(t *testing.T) {
 	for name, row := range map[string]struct {
 		fault  instance.Fault
 		status int
 		runs   int
 	}{
-		"none":                       {instance.None, http.StatusOK, 1},
-		"answered before it is in":   {instance.Early, http.StatusRequestEntityTooLarge, 0},
-		"ran, answer lost":           {instance.Lost, http.StatusBadGateway, 1},
-		"ran, reset":                 {instance.LostReset, http.StatusBadGateway, 1},
-		"rejected: another takes it": {instance.Reject, http.StatusOK, 1},
-		"fails":                      {instance.Fails, http.StatusInternalServerError, 1},
+		"none":                      {instance.None, http.StatusOK, 1},
+		"answered before body ends": {instance.Early, http.StatusRequestEntityTooLarge, 0},
+		"answer lost":               {instance.Lost, http.StatusBadGateway, 1},
+		"answer lost with a reset":  {instance.LostReset, http.StatusBadGateway, 1},
+		"rejected, sent to another": {instance.Reject, http.StatusOK, 1},
+		"fails":                     {instance.Fails, http.StatusInternalServerError, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var first atomic.Bool
-			r := newStoreRig(t, []string{"front", "data", "data"}, func(_ int, emulated *instance.Instance) {
+			r := newStoreHarness(t, []string{"front", "data", "data"}, func(_ int, emulated *instance.Instance) {
 				emulated.Plan = func(string) instance.Fault {
 					if first.CompareAndSwap(false, true) {
 						return row.fault
@@ -73,25 +74,26 @@
 	}
 }
 
-// TestStoreBodyOverTheLimit: it is refused with 413 and runs nowhere.
+// TestStoreBodyOverTheLimit checks that a body over the limit is refused with 413 and the
+// request runs nowhere.
 func TestStoreBodyOverTheLimit(t *testing.T) {
-	r := newStoreRig(t, []string{"front", "data"}, nil)
+	r := newStoreHarness(t, []string{"front", "data"}, nil)
 	r.startAll()
 	conn, err := net.Dial("tcp", net.JoinHostPort(r.machines[0].ip, strconv.Itoa(r.outbound)))
 	r.c.Assert(err, qt.IsNil)
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /write/x HTTP/1.1\r\nHost: h.example\r\n%s: upload\r\nContent-Length: %d\r\n\r\n", instance.HeaderID, 2<<20)
 	r.c.Assert(err, qt.IsNil)
-	said, err := io.ReadAll(conn)
+	response, err := io.ReadAll(conn)
 	r.c.Assert(err, qt.IsNil)
-	r.c.Check(strings.HasPrefix(string(said), "HTTP/1.1 413 "), qt.IsTrue, qt.Commentf("%q", said))
+	r.c.Check(strings.HasPrefix(string(response), "HTTP/1.1 413 "), qt.IsTrue, qt.Commentf("%q", response))
 	r.c.Check(r.runs("upload"), qt.HasLen, 0)
 }
 
-// TestStoreCallerStopsInBody: a request whose caller stops halfway runs nowhere, and
-// others pass.
+// TestStoreCallerStopsInBody checks that a request whose caller disconnects halfway
+// through the body runs nowhere, and that other requests are still served.
 func TestStoreCallerStopsInBody(t *testing.T) {
-	r := newStoreRig(t, []string{"front", "data"}, nil)
+	r := newStoreHarness(t, []string{"front", "data"}, nil)
 	r.startAll()
 	conn, err := net.Dial("tcp", net.JoinHostPort(r.machines[0].ip, strconv.Itoa(r.outbound)))
 	r.c.Assert(err, qt.IsNil)
--- a/internal/app/store_cold_test.go
+++ b/internal/app/store_cold_test.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// coldRate is what the services of these tests name, in requests a second.
+	// coldRate is the rate for cold instances in the configuration, in requests per second.
 	coldRate = 4
-	// coldMost is what a cold instance of these tests bears in a second.
-	coldMost = 8
+	// coldCapacity is the number of requests per second that a cold instance can serve.
+	coldCapacity = 8
 )
 
-// nameColdRate writes a configuration whose services name what cold instances bear.
-func (r *storeRig) nameColdRate(version int) snapshot.Revision {
+// configureColdRate writes a configuration with coldRate for the cold instances of all
+// services.
+func (r *storeHarness) configureColdRate(version int) snapshot.Revision {
 	text := fmt.Sprintf(configurationOf, version, "")
 	for _, service := range []string{"front", "data"} {
 		text = strings.Replace(text, fmt.Sprintf(`{"name":%q}`, service),
@@ -31,22 +32,22 @@
 	return snapshot.Revision(r.store.Put("op/config", []byte(text)))
 }
 
-// turn writes the entry of an instance that is cold for so long.
-func (r *storeRig) turn(index int, coldFor time.Duration) snapshot.Revision {
+// putCold writes the entry of an instance that stays cold for the given time.
+func (r *storeHarness) putCold(index int, coldFor time.Duration) snapshot.Revision {
 	m := r.machines[index]
 	return snapshot.Revision(r.store.Put("servers/"+m.instance.Name, fmt.Appendf(nil,
 		`{"address":"%s:%d","info":{"service":%q,"zone":%q,"slots":4},"status":{"state":"ready","sequence":2,"coldRemainingMs":%d}}`,
-		m.ip, r.app, m.service, m.zone, coldFor.Milliseconds())))
+		m.ip, r.backend, m.service, m.zone, coldFor.Milliseconds())))
 }
 
-// press sends requests all at once and counts the answers by status. A refused one must
-// not have run and must say when to come back.
-func (r *storeRig) press(index, count int, label string) map[int]int {
+// sendBurst sends requests all at once and counts the answers by status. A refused request
+// must not have run, and its answer must have a Retry-After.
+func (r *storeHarness) sendBurst(index, count int, label string) map[int]int {
 	answers := make([]answer, count)
 	var asking sync.WaitGroup
 	for i := range count {
 		asking.Go(func() {
-			answers[i] = r.ask(index, http.MethodPost, "/write/x", fmt.Sprintf("%s-%d", label, i), instance.HeaderDeadline, "1000")
+			answers[i] = r.send(index, http.MethodPost, "/write/x", fmt.Sprintf("%s-%d", label, i), instance.HeaderDeadline, "1000")
 		})
 	}
 	asking.Wait()
@@ -56,36 +57,35 @@
 		if got.status == http.StatusServiceUnavailable {
 			r.c.Check(r.runs(fmt.Sprintf("%s-%d", label, i)), qt.HasLen, 0)
 			r.c.Check(got.header.Get("Retry-After"), qt.Not(qt.Equals), "")
-			r.c.Logf("%s-%d: %s, come back after %s s", label, i, got.body, got.header.Get("Retry-After"))
+			r.c.Logf("%s-%d: %s, retry after %s s", label, i, got.body, got.header.Get("Retry-After"))
 		}
 	}
 	return statuses
 }
 
-// TestStoreColdInstancesAreSpared: instances that have just started, or that turn cold
-// again, are pressed by far more than they bear. None falls over; once they are warm
-// everything is served at once.
-func TestStoreColdInstancesAreSpared(t *testing.T) {
-	r := newStoreRig(t, []string{"front", "data", "data"}, func(index int, emulated *instance.Instance) {
+// TestStoreColdInstancesAreNotOverloaded sends cold instances far more requests than they
+// can serve. None may fail under the load. Once they are warm, all requests are served.
+func TestStoreColdInstancesAreNotOverloaded(t *testing.T) {
+	r := newStoreHarness(t, []string{"front", "data", "data"}, func(index int, emulated *instance.Instance) {
 		if index > 0 {
-			emulated.MostPerSecond = coldMost
+			emulated.MostPerSecond = coldCapacity
 		}
 	})
-	r.nameColdRate(2)
-	r.turn(1, time.Minute)
-	r.turn(2, time.Minute)
+	r.configureColdRate(2)
+	r.putCold(1, time.Minute)
+	r.putCold(2, time.Minute)
 	r.startAll()
-	r.await(snapshot.Revision(6))
+	r.awaitRevision(snapshot.Revision(6))
 	c := r.c
-	statuses := r.press(0, 60, "after the start")
+	statuses := r.sendBurst(0, 60, "after the start")
 	c.Check(statuses[http.StatusOK] < 60, qt.IsTrue)
 	c.Check(statuses[http.StatusOK]+statuses[http.StatusServiceUnavailable], qt.Equals, 60)
 	for _, m := range r.machines[1:] {
 		c.Check(m.instance.FellOver(), qt.IsFalse)
-		m.instance.MostPerSecond = 0 // no request is in progress
+		m.instance.MostPerSecond = 0 // safe to change, as no request is in progress
 	}
 
-	r.turn(1, 0)
-	r.await(r.turn(2, 0))
-	c.Check(r.press(0, 60, "warm"), qt.DeepEquals, map[int]int{http.StatusOK: 60})
+	r.putCold(1, 0)
+	r.awaitRevision(r.putCold(2, 0))
+	c.Check(r.sendBurst(0, 60, "warm"), qt.DeepEquals, map[int]int{http.StatusOK: 60})
 }
--- a/internal/app/store_crash_test.go
+++ b/internal/app/store_crash_test.go
@@ -14,13 +14,13 @@
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 )
 
-// crashingPrefix begins the ids of requests that crash the instances which run them.
+// crashingPrefix is the prefix of the ids of requests that crash the instances running them.
 const crashingPrefix = "crashing-"
 
-// newCrashRig starts nodes beside two instances of front and four of data. Requests whose ids
-// begin with crashingPrefix crash the instances that run them.
-func newCrashRig(t *testing.T, work func(id string, gone <-chan struct{})) *storeRig {
-	r := newStoreRig(t, []string{"front", "front", "data", "data", "data", "data"}, func(_ int, emulated *instance.Instance) {
+// newCrashHarness starts nodes beside two instances of front and four of data. Requests
+// whose ids begin with crashingPrefix crash the instances that run them.
+func newCrashHarness(t *testing.T, work func(id string, gone <-chan struct{})) *storeHarness {
+	r := newStoreHarness(t, []string{"front", "front", "data", "data", "data", "data"}, func(_ int, emulated *instance.Instance) {
 		emulated.Work = work
 		emulated.Plan = func(id string) instance.Fault {
 			if strings.HasPrefix(id, crashingPrefix) {
@@ -30,14 +30,14 @@
 		}
 	})
 	r.startAll()
-	for _, m := range r.machines { // the bound on repeats is not what these tests are about
+	for _, m := range r.machines { // keeps the retry budget from affecting these tests
 		m.node.parts.Dataplane.SetBudget(budget.Options{Ratio: 1, Slack: 1000, Window: time.Hour})
 	}
 	return r
 }
 
-// heldRuns hold the first run of each request whose id begins with a prefix until its sender
-// leaves, as when the instance crashes, or all of them are released.
+// heldRuns holds the first run of each request whose id has the prefix until its sender
+// disconnects, as when the instance crashes, or until all runs are released.
 type heldRuns struct {
 	prefix  string
 	started chan string
@@ -52,7 +52,7 @@
 	return &heldRuns{prefix: prefix, started: make(chan string, most), release: make(chan struct{}), begun: make(map[string]bool)}
 }
 
-// work is that of an emulated instance.
+// work is the work function of an emulated instance.
 func (h *heldRuns) work(id string, gone <-chan struct{}) {
 	h.mutex.Lock()
 	isFirst := strings.HasPrefix(id, h.prefix) && !h.begun[id]
@@ -68,37 +68,32 @@
 	}
 }
 
-// restart starts the instances that crashed again, under their names and addresses.
-func (r *storeRig) restart() {
+// restart restarts the instances that crashed, with the same names and addresses.
+func (r *storeHarness) restart() {
 	r.c.Helper()
 	for _, m := range r.machines {
 		r.c.Assert(m.instance.Restart(), qt.IsNil)
 	}
 }
 
-// crashes counts how often instances crashed.
-func (r *storeRig) crashes() (count int) {
+// crashes returns the number of crashes of all instances.
+func (r *storeHarness) crashes() (count int) {
 	for _, m := range r.machines {
 		count += m.instance.Crashes()
 	}
 	return count
 }
 
-// TestStoreRequestThatCrashesInstances: a request crashed each instance that ran it, and came
-// again and again, at one node after the other, while the instances started again. Each time
-// it was sent on as if it were new, and ended one instance or two: nothing related a request
-// to the ends of instances. Of a fleet of ten nodes 16 instances ended under one such request
-// within half a minute, and 2,811 of 12,817 other requests to their service were refused. The
-// logs of the nodes told of broken connections only, to instances that ended one after the
-// other ("read the answer: unexpected EOF" for 3, 9 and 2 requests at 9.277, 9.400 and
-// 9.575 s, two of them at the first and the second), and of none that was stopped.
-//
-// Now few instances end, the request is refused as not run, and other requests are served.
+// TestStoreRequestThatCrashesInstances sends a request that crashes each instance running
+// it again and again. Without a record that relates requests to crashes, each arrival
+// crashed one instance or two: in a fleet of ten nodes 16 instances crashed in half a
+// minute, and 2,811 of 12,817 other requests to the service were refused. Only a few
+// instances may crash before the request is refused as not run, and others are served.
 func TestStoreRequestThatCrashesInstances(t *testing.T) {
 	const (
 		times = 40
-		// mostCrashes: the first ones, until all nodes know of them; one that runs alone; and
-		// what is on its way meanwhile.
+		// mostCrashes allows for the crashes before all nodes know of them, one probe that
+		// runs alone, and requests in progress meanwhile.
 		mostCrashes = 6
 	)
 	for name, row := range map[string]struct{ method, path string }{
@@ -107,16 +102,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newCrashRig(t, nil)
+			r := newCrashHarness(t, nil)
 			for i := range times {
-				got := r.ask(i%len(r.machines), row.method, row.path+"the-one", fmt.Sprintf("%s%d", crashingPrefix, i))
+				got := r.send(i%len(r.machines), row.method, row.path+"the-one", fmt.Sprintf("%s%d", crashingPrefix, i))
 				r.c.Assert(got.status >= http.StatusInternalServerError, qt.IsTrue, qt.Commentf("status %d", got.status))
 				r.restart()
 				id := fmt.Sprintf("other-%d", i)
-				r.c.Assert(r.ask(i%2, row.method, row.path+id, id).status, qt.Equals, http.StatusOK, qt.Commentf("after %d crashes", r.crashes()))
+				r.c.Assert(r.send(i%2, row.method, row.path+id, id).status, qt.Equals, http.StatusOK, qt.Commentf("after %d crashes", r.crashes()))
 			}
-			r.c.Check(r.crashes() <= mostCrashes, qt.IsTrue, qt.Commentf("%d instances crashed under one request that came %d times", r.crashes(), times))
-			last := r.ask(0, row.method, row.path+"the-one", crashingPrefix+"last")
+			r.c.Check(r.crashes() <= mostCrashes, qt.IsTrue, qt.Commentf("%d crashes by one request that was sent %d times", r.crashes(), times))
+			last := r.send(0, row.method, row.path+"the-one", crashingPrefix+"last")
 			r.c.Check(last.status, qt.Equals, http.StatusServiceUnavailable)
 			r.c.Check(last.body, qt.Contains, "not run")
 			r.c.Check(r.runs(crashingPrefix+"last"), qt.HasLen, 0)
@@ -124,25 +119,25 @@
 	}
 }
 
-// TestStoreVictimsOfCrashesAreServed: a request that many callers send was in progress at each
-// crash which another request caused. It must not be taken for the one at fault: it is served
-// while that one is refused.
-func TestStoreVictimsOfCrashesAreServed(t *testing.T) {
+// TestStorePopularRequestIsServedDespiteCrashes has a request of many callers in progress
+// at each crash that another request causes. It must not be blamed for the crashes: it is
+// served while the other one is refused.
+func TestStorePopularRequestIsServedDespiteCrashes(t *testing.T) {
 	const popular = 3 // fewer than an instance has slots
 	held := newHeldRuns("popular-")
-	r := newCrashRig(t, held.work)
+	r := newCrashHarness(t, held.work)
 	var waiting sync.WaitGroup
 	statuses := make([]int, popular)
 	for i := range popular {
 		waiting.Go(func() {
-			statuses[i] = r.ask(i%len(r.machines), http.MethodGet, "/read/popular", fmt.Sprintf("popular-%d", i)).status
+			statuses[i] = r.send(i%len(r.machines), http.MethodGet, "/read/popular", fmt.Sprintf("popular-%d", i)).status
 		})
 	}
 	for range popular {
 		<-held.started
 	}
 	for i := range 20 {
-		r.ask(i%len(r.machines), http.MethodGet, "/read/the-one", fmt.Sprintf("%s%d", crashingPrefix, i))
+		r.send(i%len(r.machines), http.MethodGet, "/read/the-one", fmt.Sprintf("%s%d", crashingPrefix, i))
 		r.restart()
 	}
 	close(held.release)
@@ -151,61 +146,62 @@
 		r.c.Check(status, qt.Equals, http.StatusOK, qt.Commentf("popular request %d", i))
 	}
 	for i := range 20 {
-		got := r.ask(i%len(r.machines), http.MethodGet, "/read/popular", fmt.Sprintf("later-%d", i))
+		got := r.send(i%len(r.machines), http.MethodGet, "/read/popular", fmt.Sprintf("later-%d", i))
 		r.c.Check(got.status, qt.Equals, http.StatusOK, qt.Commentf("%s", got.body))
 	}
 	r.c.Check(r.crashes() <= 3, qt.IsTrue, qt.Commentf("%d crashes", r.crashes()))
 }
 
-// TestStoreOrdinaryCrashesShutNobodyOut: instances crash by themselves, again and again, with
-// the same request in progress each time. It is served all the same.
-func TestStoreOrdinaryCrashesShutNobodyOut(t *testing.T) {
+// TestStoreUnrelatedCrashesBlockNoRequest has instances crash for reasons of their own,
+// each time with the same request in progress. The request must still be served.
+func TestStoreUnrelatedCrashesBlockNoRequest(t *testing.T) {
 	const times = 12
 	held := newHeldRuns("held-")
-	rig := newCrashRig(t, held.work)
+	r := newCrashHarness(t, held.work)
 	for i := range times {
 		id := fmt.Sprintf("held-%d", i)
 		done := make(chan answer, 1)
-		go func() { done <- rig.ask(i%2, http.MethodGet, "/read/same", id) }()
+		go func() { done <- r.send(i%2, http.MethodGet, "/read/same", id) }()
 		select {
 		case <-held.started:
 		case got := <-done:
-			rig.c.Fatalf("crash %d: it did not run: %d %s", i, got.status, got.body)
+			r.c.Fatalf("crash %d: the request did not run: %d %s", i, got.status, got.body)
 		}
-		for _, m := range rig.machines {
-			if len(rig.runsAt(m, id)) > 0 {
+		for _, m := range r.machines {
+			if len(r.runsAt(m, id)) > 0 {
 				m.instance.Crash()
 			}
 		}
 		got := <-done
-		rig.c.Check(got.status, qt.Equals, http.StatusOK, qt.Commentf("crash %d: %s", i, got.body))
-		rig.restart()
-		rig.clear(fmt.Sprintf("clear-%d", i))
+		r.c.Check(got.status, qt.Equals, http.StatusOK, qt.Commentf("crash %d: %s", i, got.body))
+		r.restart()
+		r.clear(fmt.Sprintf("clear-%d", i))
 	}
 }
 
-// clear sends the same request until all nodes know that nothing stands against it. One answer
-// does where the record of the crash has come to the instance's node before it; a busy machine
-// may bring the record later.
-func (r *storeRig) clear(id string) {
+// clear sends the same request until no node suspects any request. One answer is
+// enough if the record of the crash reached the instance's node before it, but on a busy
+// machine the record may arrive later.
+func (r *storeHarness) clear(id string) {
 	r.c.Helper()
 	for _, m := range r.machines {
 		for number := 0; !m.node.parts.Suspects.IsEmpty(); number++ {
-			got := r.ask(0, http.MethodGet, "/read/same", fmt.Sprintf("%s-%d", id, number))
+			got := r.send(0, http.MethodGet, "/read/same", fmt.Sprintf("%s-%d", id, number))
 			r.c.Assert(got.status, qt.Equals, http.StatusOK, qt.Commentf("%s", got.body))
 		}
 	}
 }
 
-// TestStoreCrashOfManyAtOnce: instances of one domain crash at the same moment, all with the
-// same request in progress. That is one cause and many crashes: the request is served after.
+// TestStoreCrashOfManyAtOnce crashes instances of one failure domain at the same moment,
+// all with the same request in progress. These are many crashes with one cause, so the
+// request must be served afterwards.
 func TestStoreCrashOfManyAtOnce(t *testing.T) {
 	const count = 3
 	held := newHeldRuns("held-")
-	r := newCrashRig(t, held.work)
+	r := newCrashHarness(t, held.work)
 	var waiting sync.WaitGroup
 	for i := range count {
-		waiting.Go(func() { r.ask(i, http.MethodPost, "/write/same", fmt.Sprintf("held-%d", i)) })
+		waiting.Go(func() { r.send(i, http.MethodPost, "/write/same", fmt.Sprintf("held-%d", i)) })
 	}
 	for range count {
 		<-held.started
@@ -218,7 +214,7 @@
 	waiting.Wait()
 	r.restart()
 	for i := range 3 * len(r.machines) {
-		got := r.ask(i%len(r.machines), http.MethodPost, "/write/same", fmt.Sprintf("later-%d", i))
+		got := r.send(i%len(r.machines), http.MethodPost, "/write/same", fmt.Sprintf("later-%d", i))
 		r.c.Check(got.status, qt.Equals, http.StatusOK, qt.Commentf("%s", got.body))
 	}
 }
--- a/internal/app/store_evacuation_test.go
+++ b/internal/app/store_evacuation_test.go
@@ -13,22 +13,22 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// evacuate asks that the instances of a zone get no requests.
-func (r *storeRig) evacuate(zone string) snapshot.Revision {
+// evacuate writes that the instances of a zone get no requests.
+func (r *storeHarness) evacuate(zone string) snapshot.Revision {
 	return snapshot.Revision(r.store.Put(store.KeyEvacuations+zone, []byte("{}")))
 }
 
-// takeBack ends the evacuation of a zone.
-func (r *storeRig) takeBack(zone string) snapshot.Revision {
+// endEvacuation ends the evacuation of a zone.
+func (r *storeHarness) endEvacuation(zone string) snapshot.Revision {
 	return snapshot.Revision(r.store.Delete(store.KeyEvacuations + zone))
 }
 
-// askMany sends requests one after the other and returns how many each instance ran.
-func (r *storeRig) askMany(index, count int, label string) map[string]int {
+// sendMany sends requests one after the other and returns how many ran in each zone.
+func (r *storeHarness) sendMany(index, count int, label string) map[string]int {
 	ran := map[string]int{}
 	for i := range count {
 		id := fmt.Sprintf("%s-%d", label, i)
-		r.c.Assert(r.ask(index, http.MethodGet, "/read/x", id).status, qt.Equals, http.StatusOK)
+		r.c.Assert(r.send(index, http.MethodGet, "/read/x", id).status, qt.Equals, http.StatusOK)
 		for _, m := range r.machines {
 			for _, run := range m.instance.Runs() {
 				if run.ID == id {
@@ -40,55 +40,57 @@
 	return ran
 }
 
-// TestStoreEvacuation: the instances of an evacuated zone get nothing, its node serves
-// its own callers on by instances elsewhere, and all is as before once it is taken back.
+// TestStoreEvacuation checks that the instances of an evacuated zone get no requests, that
+// the zone's node serves its own callers from other zones, and that everything is as
+// before once the evacuation ends.
 func TestStoreEvacuation(t *testing.T) {
 	const requests = 30
-	r := newStoreRig(t, []string{"data", "data"}, nil)
-	r.place(1, "y")
+	r := newStoreHarness(t, []string{"data", "data"}, nil)
+	r.putInZone(1, "y")
 	r.startAll()
 	c := r.c
-	c.Check(r.askMany(1, requests, "before")["y"] > 0, qt.IsTrue)
+	c.Check(r.sendMany(1, requests, "before")["y"] > 0, qt.IsTrue)
 
-	r.await(r.evacuate("y"))
-	c.Check(r.askMany(1, requests, "from the zone"), qt.DeepEquals, map[string]int{"z": requests})
-	c.Check(r.askMany(0, requests, "from elsewhere"), qt.DeepEquals, map[string]int{"z": requests})
+	r.awaitRevision(r.evacuate("y"))
+	c.Check(r.sendMany(1, requests, "from the zone"), qt.DeepEquals, map[string]int{"z": requests})
+	c.Check(r.sendMany(0, requests, "from elsewhere"), qt.DeepEquals, map[string]int{"z": requests})
 
-	r.await(r.takeBack("y"))
-	c.Check(r.askMany(1, requests, "after")["y"] > 0, qt.IsTrue)
+	r.awaitRevision(r.endEvacuation("y"))
+	c.Check(r.sendMany(1, requests, "after")["y"] > 0, qt.IsTrue)
 }
 
-// TestStoreEvacuationOfAllZones: what no zone may serve is refused at once, as not run,
-// with a time to come back; and a node that starts while the store is away knows of it
-// from its peers.
+// TestStoreEvacuationOfAllZones checks that requests are refused at once as not run, with
+// a Retry-After, if all zones are evacuated, and that a node that starts while the store
+// is unavailable learns of the evacuations from its peers.
 func TestStoreEvacuationOfAllZones(t *testing.T) {
-	r := newStoreRig(t, []string{"front", "data", "data"}, nil)
-	r.place(1, "y")
+	r := newStoreHarness(t, []string{"front", "data", "data"}, nil)
+	r.putInZone(1, "y")
 	r.start(0, r.url)
 	r.start(1, r.url)
 	<-r.machines[0].node.Ready()
 	<-r.machines[1].node.Ready()
 	r.evacuate("y")
 	revision := r.evacuate("z")
-	r.await(revision)
-	r.store.SetFault(awayForMachine())
+	r.awaitRevision(revision)
+	r.store.SetFault(answerListsOnly())
 	r.start(2, r.url)
-	r.await(revision)
+	r.awaitRevision(revision)
 
 	for index := range r.machines {
 		id := fmt.Sprintf("refused-%d", index)
-		got := r.ask(index, http.MethodPost, "/write/x", id)
+		got := r.send(index, http.MethodPost, "/write/x", id)
 		r.c.Check(got.status, qt.Equals, http.StatusServiceUnavailable)
 		r.c.Check(got.header.Get("Retry-After"), qt.Not(qt.Equals), "")
 		r.c.Check(r.runs(id), qt.HasLen, 0)
 	}
 	r.store.SetFault(nil)
-	r.await(r.takeBack("y"))
-	r.c.Check(r.askMany(0, 3, "served again"), qt.DeepEquals, map[string]int{"y": 3})
+	r.awaitRevision(r.endEvacuation("y"))
+	r.c.Check(r.sendMany(0, 3, "served again"), qt.DeepEquals, map[string]int{"y": 3})
 }
 
-// awayForMachine lets a starting node find its peers by one list and answers nothing else.
-func awayForMachine() func(*http.Request) store.Fault {
+// answerListsOnly returns a fault with which the store answers lists, from which a
+// starting node learns its peers, and nothing else.
+func answerListsOnly() func(*http.Request) store.Fault {
 	return func(request *http.Request) store.Fault {
 		if request.URL.Path == "/v1/kv-range" {
 			return store.NoFault
@@ -97,12 +99,12 @@
 	}
 }
 
-// TestStoreEvacuationGuard: the node beside an instance refuses what a sender that does
-// not know of the evacuation still sends.
+// TestStoreEvacuationGuard checks that the sidecar of an instance refuses requests from a
+// sender that doesn't know of the evacuation yet.
 func TestStoreEvacuationGuard(t *testing.T) {
-	r := newStoreRig(t, []string{"data"}, nil)
+	r := newStoreHarness(t, []string{"data"}, nil)
 	r.startAll()
-	r.await(r.evacuate("z"))
+	r.awaitRevision(r.evacuate("z"))
 	order := hop.Order{Instance: "i-0", Remaining: 30e9, MaxWait: 10e9, Repeatable: true, Revision: 1}
 	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s:%d/read/x", r.machines[0].ip, r.inbound), nil)
 	r.c.Assert(err, qt.IsNil)
--- a/internal/app/store_asked_body_test.go
+++ b/internal/app/store_expect_test.go
@@ -16,39 +16,39 @@
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 )
 
-// askWithBody sends a node only the header of a request with a body, as another node
-// does, and returns the status of what the node says before any of the body.
-func (r *storeRig) askWithBody(index, bytes int, order hop.Order, id string) int {
+// sendHeader sends a node only the header of a request with a body, as another node does,
+// and returns the status that the node answers before it gets any of the body.
+func (r *storeHarness) sendHeader(index, bytes int, order hop.Order, id string) int {
 	conn, err := net.Dial("tcp", net.JoinHostPort(r.machines[index].ip, strconv.Itoa(r.inbound)))
 	r.c.Assert(err, qt.IsNil)
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /write/x HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\nExpect: 100-continue\r\n\r\n",
 		instance.HeaderID, id, hop.Header, order.Encode(), bytes)
 	r.c.Assert(err, qt.IsNil)
-	said, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	r.c.Assert(err, qt.IsNil)
-	return said.StatusCode
+	return response.StatusCode
 }
 
-// TestStoreRefusedBodyIsNotSent: a node says whether it takes a request before the body is
-// sent, also for the short bodies of bookings: what is refused costs the link nothing but
-// the question (found on links of 5 Mbit/s: refused bookings filled them, and every
-// request that passed them took 0.2 s longer).
+// TestStoreRefusedBodyIsNotSent checks that a node accepts or refuses a request before the
+// body is sent, even if the body is short. Otherwise the bodies of refused requests filled
+// links of 5 Mbit/s, and each request that was accepted took 0.2 s longer.
 func TestStoreRefusedBodyIsNotSent(t *testing.T) {
-	r := newStoreRig(t, []string{"data"}, nil)
+	r := newStoreHarness(t, []string{"data"}, nil)
 	r.startAll()
 	order := hop.Order{Instance: "i-0", Remaining: time.Minute, MaxWait: time.Minute, Revision: 1}
-	r.c.Check(r.askWithBody(0, 4000, order, "room"), qt.Equals, http.StatusContinue)
+	r.c.Check(r.sendHeader(0, 4000, order, "accepted"), qt.Equals, http.StatusContinue)
 	expired := order
 	expired.Expected = 2 * time.Minute
-	r.c.Check(r.askWithBody(0, 4000, expired, "too late"), qt.Equals, http.StatusServiceUnavailable)
-	r.await(r.put(0, "draining"))
-	r.c.Check(r.askWithBody(0, 4000, order, "draining"), qt.Equals, http.StatusServiceUnavailable)
+	r.c.Check(r.sendHeader(0, 4000, expired, "expired"), qt.Equals, http.StatusServiceUnavailable)
+	r.awaitRevision(r.put(0, "draining"))
+	r.c.Check(r.sendHeader(0, 4000, order, "draining"), qt.Equals, http.StatusServiceUnavailable)
 }
 
-// TestStoreShortBodyComesWhole: a body that is asked for comes whole and unchanged.
-func TestStoreShortBodyComesWhole(t *testing.T) {
-	r := newStoreRig(t, []string{"front", "data"}, nil)
+// TestStoreShortBodyArrivesWhole checks that a body that the node asked for arrives whole
+// and unchanged.
+func TestStoreShortBodyArrivesWhole(t *testing.T) {
+	r := newStoreHarness(t, []string{"front", "data"}, nil)
 	r.startAll()
 	body := strings.Repeat("0123456789", 400)
 	got := r.upload(0, "/write/x", "booking", []byte(body))
--- a/internal/app/store_rig_test.go
+++ b/internal/app/store_harness_test.go
@@ -22,14 +22,14 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// storeRig is an emulated store with nodes in this process, each beside an emulated
-// instance. The machines have loopback addresses of their own and the same ports.
-type storeRig struct {
-	c                             *qt.C
-	store                         *store.Store
-	url                           string
-	outbound, inbound, peers, app int // ports
-	machines                      []*machine
+// storeHarness holds an emulated store and nodes in this process, each beside an emulated
+// instance. The machines have loopback addresses of their own and use the same ports.
+type storeHarness struct {
+	c                                 *qt.C
+	store                             *store.Store
+	url                               string
+	outbound, inbound, peers, backend int // ports
+	machines                          []*machine
 }
 
 // machine is one node and the instance beside it.
@@ -42,31 +42,33 @@
 	stop     func() error
 }
 
-// blocks counts the blocks of loopback addresses that were handed out.
-var blocks atomic.Int64
+// addressBlocks counts the blocks of loopback addresses in use.
+var addressBlocks atomic.Int64
 
-// configurationOf has a route for requests that may be repeated and one for others.
+// configurationOf is the format of a configuration with a route for requests that may be
+// repeated, a route for others, and further routes. Its arguments are the version and the
+// further routes.
 const configurationOf = `{"version":%d,"services":[{"name":"front"},{"name":"data"}],
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":1048576,"headerTimeoutMs":60000,"idleTimeoutMs":60000},
  "virtualHosts":[{"host":"h.example","paths":[
   {"name":"read","pathPrefix":"/read/","kind":"safe","timeoutMs":30000,"targetLatencyMs":20000,"priority":1,"service":"data","maxAttempts":2},
   {"name":"write","pathPrefix":"/write/","kind":"unsafe","timeoutMs":30000,"targetLatencyMs":20000,"priority":1,"service":"data","maxAttempts":2}%s]}]}`
 
-// newStoreRig starts a machine for each service named. configure may change an
-// emulated instance before it starts.
-func newStoreRig(t *testing.T, services []string, configure func(index int, emulated *instance.Instance)) *storeRig {
+// newStoreHarness adds a machine for each service and starts its instance, but not its
+// node. configure may change an emulated instance before it starts.
+func newStoreHarness(t *testing.T, services []string, configure func(index int, emulated *instance.Instance)) *storeHarness {
 	c := qt.New(t)
-	r := &storeRig{c: c, store: store.New()}
+	r := &storeHarness{c: c, store: store.New()}
 	server := httptest.NewServer(r.store)
 	c.Cleanup(server.Close)
 	r.url = server.URL
 	ports := freePorts(c, 4)
-	r.outbound, r.inbound, r.peers, r.app = ports[0], ports[1], ports[2], ports[3]
+	r.outbound, r.inbound, r.peers, r.backend = ports[0], ports[1], ports[2], ports[3]
 	r.store.Put("op/config", fmt.Appendf(nil, configurationOf, 1, ""))
-	block := ownBlock()
+	block := nextAddressBlock()
 	for i, service := range services {
 		ip := fmt.Sprintf("%s.%d", block, i+1)
-		emulated := &instance.Instance{Name: fmt.Sprintf("i-%d", i), Address: fmt.Sprintf("%s:%d", ip, r.app)}
+		emulated := &instance.Instance{Name: fmt.Sprintf("i-%d", i), Address: fmt.Sprintf("%s:%d", ip, r.backend)}
 		if configure != nil {
 			configure(i, emulated)
 		}
@@ -79,12 +81,14 @@
 	return r
 }
 
-// ownBlock returns the first three numbers of loopback addresses that no other rig uses.
-func ownBlock() string {
-	return fmt.Sprintf("127.%d.%d", 1+os.Getpid()%250, 1+blocks.Add(1)%250)
+// nextAddressBlock returns the first three numbers of loopback addresses that no other
+// harness uses.
+func nextAddressBlock() string {
+	return fmt.Sprintf("127.%d.%d", 1+os.Getpid()%250, 1+addressBlocks.Add(1)%250)
 }
 
-// freePorts returns different ports: each is held until all are found.
+// freePorts returns distinct free ports. It keeps each open until all are found, so that
+// none is found twice.
 func freePorts(c *qt.C, count int) []int {
 	ports := make([]int, count)
 	for i := range ports {
@@ -96,21 +100,21 @@
 	return ports
 }
 
-// put writes the entry of an instance and returns its revision.
-func (r *storeRig) put(index int, state string) snapshot.Revision {
+// put writes the entry of an instance to the store and returns the revision of the write.
+func (r *storeHarness) put(index int, state string) snapshot.Revision {
 	m := r.machines[index]
 	return snapshot.Revision(r.store.Put("servers/"+m.instance.Name, fmt.Appendf(nil,
-		`{"address":"%s:%d","info":{"service":%q,"zone":%q,"slots":4},"status":{"state":%q,"sequence":1}}`, m.ip, r.app, m.service, m.zone, state)))
+		`{"address":"%s:%d","info":{"service":%q,"zone":%q,"slots":4},"status":{"state":%q,"sequence":1}}`, m.ip, r.backend, m.service, m.zone, state)))
 }
 
-// place puts a machine that was not started yet into a zone.
-func (r *storeRig) place(index int, zone string) {
+// putInZone moves a machine whose node has not started yet to a zone.
+func (r *storeHarness) putInZone(index int, zone string) {
 	r.machines[index].zone = zone
 	r.put(index, "ready")
 }
 
-// settings are those of the node of a machine, which reads the store at the URL.
-func (r *storeRig) settings(index int, url string) settings.Settings {
+// settings returns the settings of a machine's node, which reads the store at the URL.
+func (r *storeHarness) settings(index int, url string) settings.Settings {
 	m := r.machines[index]
 	configured := settings.Defaults()
 	configured.Node = settings.Node{Name: m.ip, Region: "r", Zone: m.zone}
@@ -119,7 +123,7 @@
 	configured.Peers.Listen = fmt.Sprintf("%s:%d", m.ip, r.peers)
 	configured.Outbound.Listen = fmt.Sprintf("%s:%d", m.ip, r.outbound)
 	configured.Inbound.Listen = fmt.Sprintf("%s:%d", m.ip, r.inbound)
-	configured.Inbound.Service, configured.Inbound.Backend = m.service, fmt.Sprintf("%s:%d", m.ip, r.app)
+	configured.Inbound.Service, configured.Inbound.Backend = m.service, fmt.Sprintf("%s:%d", m.ip, r.backend)
 	configured.Inbound.DrainNotice = 0
 	configured.Admin.Listen = "127.0.0.1:0"
 	configured.Retries.FirstStart = true
@@ -127,10 +131,10 @@
 }
 
 // start runs the node of a machine, which reads the store at the URL.
-func (r *storeRig) start(index int, url string) { r.startWith(index, r.settings(index, url)) }
+func (r *storeHarness) start(index int, url string) { r.startWith(index, r.settings(index, url)) }
 
-// startWith runs the node of a machine with these settings.
-func (r *storeRig) startWith(index int, configured settings.Settings) {
+// startWith runs the node of a machine with the settings.
+func (r *storeHarness) startWith(index int, configured settings.Settings) {
 	m := r.machines[index]
 	node, err := New(configured, Options{Logger: logging.Discard()})
 	r.c.Assert(err, qt.IsNil)
@@ -151,7 +155,7 @@
 }
 
 // startAll runs all nodes and waits until each is ready.
-func (r *storeRig) startAll() {
+func (r *storeHarness) startAll() {
 	for i := range r.machines {
 		r.start(i, r.url)
 	}
@@ -159,14 +163,14 @@
 }
 
 // awaitReady waits until each node is ready.
-func (r *storeRig) awaitReady() {
+func (r *storeHarness) awaitReady() {
 	for _, m := range r.machines {
 		<-m.node.Ready()
 	}
 }
 
-// await waits until every running node holds the revision.
-func (r *storeRig) await(revision snapshot.Revision) {
+// awaitRevision waits until every running node has the revision in force.
+func (r *storeHarness) awaitRevision(revision snapshot.Revision) {
 	for _, m := range r.machines {
 		if m.node == nil {
 			continue
@@ -179,22 +183,23 @@
 	}
 }
 
-// until waits for a condition.
+// until waits until the condition is true.
 func until(condition func() bool) {
 	for !condition() {
 		runtime.Gosched()
 	}
 }
 
-// answer is what a caller gets.
+// answer is the response that a caller receives.
 type answer struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// ask sends a request to the node of a machine.
-func (r *storeRig) ask(index int, method, path, id string, fields ...string) answer {
+// send sends a request to the node of a machine. fields are further names and values of
+// header fields, in turn.
+func (r *storeHarness) send(index int, method, path, id string, fields ...string) answer {
 	r.c.Helper()
 	request, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", r.machines[index].ip, r.outbound, path), nil)
 	r.c.Assert(err, qt.IsNil)
@@ -213,16 +218,16 @@
 	return answer{response.StatusCode, response.Header, string(body)}
 }
 
-// runs returns what ran with that id, on all instances.
-func (r *storeRig) runs(id string) (found []instance.Run) {
+// runs returns the runs of the request with the id on all instances.
+func (r *storeHarness) runs(id string) (found []instance.Run) {
 	for _, m := range r.machines {
 		found = append(found, r.runsAt(m, id)...)
 	}
 	return found
 }
 
-// runsAt returns what ran with that id on the instance of a machine.
-func (r *storeRig) runsAt(m *machine, id string) (found []instance.Run) {
+// runsAt returns the runs of the request with the id on the instance of a machine.
+func (r *storeHarness) runsAt(m *machine, id string) (found []instance.Run) {
 	for _, run := range m.instance.Runs() {
 		if run.ID == id {
 			found = append(found, run)
--- a/internal/app/store_silence_test.go
+++ b/internal/app/store_silence_test.go
@@ -13,9 +13,9 @@
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 )
 
-// startBehindProxies runs the nodes; those beside data take requests through the proxies
-// that it returns. A proxy falls silent after the first report of progress.
-func (r *storeRig) startBehindProxies() (proxies []*faultproxy.Silencer) {
+// startBehindProxies runs the nodes. Those beside instances of data get requests through
+// the returned proxies. A proxy falls silent after the first report of progress.
+func (r *storeHarness) startBehindProxies() (proxies []*faultproxy.Silencer) {
 	for i, m := range r.machines {
 		configured := r.settings(i, r.url)
 		if m.service == "data" {
@@ -39,11 +39,11 @@
 	return proxies
 }
 
-// TestStoreConnectionFallsSilentInARequest: the connection between two nodes falls silent,
-// without a reset, while an instance works on a request. Nothing showed that to the sender:
-// the request hung for all of its 5 s, though another instance was free. Now the node says
-// every 0.4 s that the request goes on, and what can be repeated is sent elsewhere after a
-// second without a word. What may run once is waited for, and is not sent again.
+// TestStoreConnectionFallsSilentInARequest has the connection between two nodes fall silent
+// without a reset while an instance works on a request. Without reports of progress, the
+// request hung for all of its 5 s although another instance was free. The node reports
+// progress every 0.4 s, and after a second without a report a request that may be repeated
+// is sent to another instance. One that may not be repeated is waited for and not resent.
 func TestStoreConnectionFallsSilentInARequest(t *testing.T) {
 	const deadline = "5000"
 	rows := map[string]struct {
@@ -59,14 +59,14 @@
 			var mutex sync.Mutex
 			begun := false
 			var proxies []*faultproxy.Silencer
-			r := newStoreRig(t, []string{"front", "data", "data"}, func(_ int, emulated *instance.Instance) {
+			r := newStoreHarness(t, []string{"front", "data", "data"}, func(_ int, emulated *instance.Instance) {
 				emulated.Work = func(_ string, gone <-chan struct{}) {
 					mutex.Lock()
 					isFirst := !begun
 					begun = true
 					mutex.Unlock()
 					if isFirst {
-						if row.runs == 1 { // nobody asks for progress
+						if row.runs == 1 { // no progress is requested, which would silence the proxies
 							for _, proxy := range proxies {
 								proxy.FallSilent()
 							}
@@ -76,7 +76,7 @@
 				}
 			})
 			proxies = r.startBehindProxies()
-			got := r.ask(0, row.method, row.path, "stuck", instance.HeaderDeadline, deadline)
+			got := r.send(0, row.method, row.path, "stuck", instance.HeaderDeadline, deadline)
 			r.c.Check(got.status, qt.Equals, row.status)
 			r.c.Check(r.runs("stuck"), qt.HasLen, row.runs)
 		})
--- a/internal/app/suspects.go
+++ b/internal/app/suspects.go
@@ -7,17 +7,17 @@
 	"github.com/winchhead/winchhead/internal/suspects"
 )
 
-// learnCrashes returns what takes over the records of other nodes and logs them.
-func learnCrashes(ledger *suspects.Ledger, logger logrus.FieldLogger) func([]suspects.Crash) {
+// newCrashHandler returns a function that records and logs crashes reported by other nodes.
+func newCrashHandler(ledger *suspects.Ledger, logger logrus.FieldLogger) func([]suspects.Crash) {
 	return func(crashes []suspects.Crash) {
 		ledger.Learn(crashes)
 		for _, crash := range crashes {
-			logger.WithFields(describeCrash(crash)).Info("another node tells of the crash of an instance")
+			logger.WithFields(describeCrash(crash)).Info("another node reported the crash of an instance")
 		}
 	}
 }
 
-// describeCrash returns the fields of a line about a record.
+// describeCrash returns the log fields of a crash record.
 func describeCrash(crash suspects.Crash) logrus.Fields {
 	cleared, probed := 0, ""
 	for _, request := range crash.Requests {
@@ -33,7 +33,8 @@
 	}
 }
 
-// registerSuspects registers gauges of the contents that something stands against.
+// registerSuspects registers gauges of the request contents that are suspected or
+// quarantined.
 func registerSuspects(registerer prometheus.Registerer, ledger *suspects.Ledger) error {
 	for name, gauge := range map[string]struct {
 		standing suspects.Standing
