--- a/internal/admin/response.go
+++ b/internal/admin/response.go
@@ -67,8 +67,8 @@
 	To   snapshot.Revision `json:"to"`
 	// Age is how long ago the node learned of the restore.
 	Age Duration `json:"age"`
-	// Retained is how many statements about instances and evacuations the node retains in place
-	// of the source's, for RetainedFor at most.
+	// Retained is how many instance and evacuation states the node retains in place of the
+	// source's, for RetainedFor at most.
 	Retained    int      `json:"retained"`
 	RetainedFor Duration `json:"retained_for"`
 }
--- a/internal/configuration/changes.go
+++ b/internal/configuration/changes.go
@@ -24,7 +24,7 @@
 }
 
 // applyFleet swaps in a snapshot of the current document with the pending changes and retained
-// statements applied to it. The caller must hold the mutex.
+// states applied to it. The caller must hold the mutex.
 func (a *Applier) applyFleet() {
 	previous := a.store.Current()
 	next := previous.WithChanges(a.plan.Document(), &a.changes, &a.restore.retained)
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -237,7 +237,7 @@
 	}
 }
 
-// evaluate drops retained statements that have expired, applies changed results of conditions,
+// evaluate drops retained states that have expired, applies changed results of conditions,
 // and returns when to evaluate next if the fleet does not change.
 func (a *Applier) evaluate(now time.Time) (deadline time.Time, pending bool) {
 	a.mutex.Lock()
--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -48,8 +48,8 @@
 	To   snapshot.Revision
 	// Age is the time since then.
 	Age time.Duration
-	// Retained is how many statements about instances and evacuations the node retains in place of
-	// the source's, and Left for how much longer at most.
+	// Retained is how many instance and evacuation states the node retains in place of the source's,
+	// and Left for how much longer at most.
 	Retained int
 	Left     time.Duration
 }
@@ -131,8 +131,8 @@
 	return retained
 }
 
-// expireRetained drops retained statements whose time is over, and returns how long it is until the
-// next ones expire, if any are left. The caller must hold the mutex.
+// expireRetained drops retained instance and evacuation states that have expired, and returns the
+// time until the next ones expire, if any are left. The caller must hold the mutex.
 func (a *Applier) expireRetained() (left time.Duration, pending bool) {
 	r := &a.restore
 	if r.retainedSince.IsZero() {
@@ -151,9 +151,9 @@
 	}
 }
 
-// dropRetained drops retained statements and puts the content of the source in force in their
-// place. drop gets that content and returns how many statements differed from it. The caller must
-// hold the mutex.
+// dropRetained drops retained states and puts the content of the source in force in their place.
+// drop gets that content and returns how many states differed from it. The caller must hold the
+// mutex.
 func (a *Applier) dropRetained(drop func(content snapshot.Content) int) {
 	if a.plan == nil {
 		return // nothing is in force
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -218,8 +218,8 @@
 
 // TestRemovedInstanceListedInBackup: two instances were removed, one of them after it had started
 // to drain, and a backup from before lists both as ready. Nobody renews these entries, and the
-// platform drops them after three missed heartbeats, 4.5 s. When the node dropped what it retained
-// 2.5 s after the restore, both were in force again until then.
+// platform drops them after three missed heartbeats, 4.5 s. If the node drops what it retains before
+// that, both instances are in force again for the rest of that time.
 func TestRemovedInstanceListedInBackup(t *testing.T) {
 	const dropDelay = 3 * 1500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/dataplane/balance/balance.go
+++ b/internal/dataplane/balance/balance.go
@@ -48,7 +48,7 @@
 	// maxReportAge is the age up to which a load report is used.
 	maxReportAge = 2 * time.Second
 	// fullInstancePeriod is how long an instance of another zone that had no free slot is
-	// not tried again: when all instances are full, sending requests around helps nobody.
+	// not tried again: when all instances are full, further tries find no slot.
 	fullInstancePeriod = 250 * time.Millisecond
 	// forgetAfter is how long the state of an instance that is not chosen is kept.
 	forgetAfter = time.Minute
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -28,17 +28,17 @@
 }
 
 const (
-	// UsableShare is the share of its part of the bound that a node uses. The rest allows for
-	// errors of the estimates of which calls are made by repeated runs and how many calls a
-	// run makes. With it, the fleets of TestFleetKeepsTheBound use at most 0.9 of the bound.
+	// UsableShare is the fraction of a node's part of the bound that the node uses. The rest is
+	// a margin, because the share of repeated calls and the calls per run are estimates: the
+	// fleets of TestFleetKeepsTheBound use up to 0.9 of the bound.
 	UsableShare = 0.8
 	// failedCallFactor is the number of calls made by a run whose request failed at an
-	// instance before, as a multiple of the mean of all runs. A request fails if its calls
-	// fail, so most failed requests are ones that make calls: 1.9 calls where the mean is 1.4
-	// (docs/incidents/inc-budget.md).
+	// instance before, as a multiple of the mean of all runs. Requests that make calls fail
+	// more often, because their calls may fail: they make, for example, 1.9 calls where the
+	// mean is 1.4.
 	failedCallFactor = 2
-	// maxInherited is the highest probability with which a call counts as one of a repeated
-	// run. It is below 1 because only certain repeats may be refused.
+	// maxInherited caps the probability that a call counts as made by a repeated run. It is
+	// below 1 because only sends that are repeats for sure may be refused.
 	maxInherited = 0.99
 	// minFanOut is the mean number of calls per run to a service below which they are ignored.
 	minFanOut = 0.02
--- a/internal/dataplane/budget/fleet_test.go
+++ b/internal/dataplane/budget/fleet_test.go
@@ -14,7 +14,7 @@
 	"github.com/winchhead/winchhead/internal/dataplane/budget"
 )
 
-// A simulation of a fleet in virtual time: each node has one instance, services call each
+// A simulation of a fleet with a simulated clock: each node has one instance, services call each
 // other in a chain of three, and the nodes make as many repeats as the package allows.
 // Package repeatjudge checks the sends against the bound.
 
@@ -238,8 +238,7 @@
 }
 
 // TestFleetKeepsTheBound guards against a fleet that makes more repeats than the bound allows
-// when instances reject requests, fail or lose answers at one or several services of a chain
-// (docs/incidents/inc-budget.md).
+// when instances reject requests, fail or lose answers at one or several services of a chain.
 func TestFleetKeepsTheBound(t *testing.T) {
 	for name, failures := range map[string][3]failureShares{
 		"rejections at the second":              {1: {Rejected: 0.55}},
--- a/internal/dataplane/client/client.go
+++ b/internal/dataplane/client/client.go
@@ -91,8 +91,8 @@
 	ConnectTimeout time.Duration
 	// IdleTimeout is how long a connection may be idle when its server names no timeout.
 	IdleTimeout time.Duration
-	// RunsWholeOnly is set when the server runs a request only after it has received all
-	// of it.
+	// RunsWholeOnly is set when the server runs a request only after it has received the
+	// full body.
 	RunsWholeOnly bool
 	// Pacer limits the rate at which bodies are sent; nil: no limit.
 	Pacer *transfer.Pacer
--- a/internal/dataplane/client/silence_test.go
+++ b/internal/dataplane/client/silence_test.go
@@ -94,10 +94,10 @@
 	})
 }
 
-// TestIdleConnectionIsCheckedBeforeReuse: a connection can die while others to the same server
-// work. One that was idle for a while gets a liveness check before a request, even if others
-// received data: without it the request hung until its timeout, and it was not known whether
-// it had run.
+// TestIdleConnectionIsCheckedBeforeReuse: a connection can die while others to the same
+// server work. One that was idle for a while gets a liveness check before a request, even
+// if others received data: without it the request would hang until its timeout, and it
+// would be unknown whether it ran.
 func TestIdleConnectionIsCheckedBeforeReuse(t *testing.T) {
 	const checkTimeout = 2 * time.Second // the healthy connection must answer within it, even on a busy machine
 	c := qt.New(t)
--- a/internal/dataplane/client/verify_test.go
+++ b/internal/dataplane/client/verify_test.go
@@ -49,10 +49,10 @@
 	return listener.Addr().String()
 }
 
-// TestFailedLivenessCheckSendsNoRequest: a server that sent nothing for a while gets a liveness
-// check first. If the check fails, the request was not sent and can be sent elsewhere, even if
-// it is not idempotent. Without it, requests to nodes that lost power hung and counted as
-// possibly run.
+// TestFailedLivenessCheckSendsNoRequest: a server that sent nothing for a while gets a
+// liveness check first. If the check fails, the request was not sent and can be sent
+// elsewhere, even if it is not idempotent. Without the check, a request to a node that lost
+// power would hang and count as possibly run.
 func TestFailedLivenessCheckSendsNoRequest(t *testing.T) {
 	c := qt.New(t)
 	var silent atomic.Bool
--- a/internal/dataplane/inbound/stale.go
+++ b/internal/dataplane/inbound/stale.go
@@ -10,8 +10,8 @@
 // staleInstances holds, for a limited time, the instance processes that were found to no
 // longer serve at their listed address.
 type staleInstances struct {
-	mutex sync.Mutex
-	lives map[snapshot.Life]time.Time // time at which each was added
+	mutex     sync.Mutex
+	processes map[snapshot.Life]time.Time // time at which each was added
 }
 
 const (
@@ -21,18 +21,18 @@
 	staleTTL = 10 * time.Second
 )
 
-func (s *staleInstances) add(life snapshot.Life) {
+func (s *staleInstances) add(process snapshot.Life) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.lives == nil || len(s.lives) >= maxStale {
-		s.lives = make(map[snapshot.Life]time.Time)
+	if s.processes == nil || len(s.processes) >= maxStale {
+		s.processes = make(map[snapshot.Life]time.Time)
 	}
-	s.lives[life] = time.Now()
+	s.processes[process] = time.Now()
 }
 
-func (s *staleInstances) has(life snapshot.Life) bool {
+func (s *staleInstances) has(process snapshot.Life) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	since, found := s.lives[life]
+	since, found := s.processes[process]
 	return found && time.Since(since) < staleTTL
 }
--- a/internal/dataplane/outbound/exchange.go
+++ b/internal/dataplane/outbound/exchange.go
@@ -19,9 +19,8 @@
 	maxTries = 8
 	// maxFullRefusals limits how many of them may refuse for lack of capacity. Where that many
 	// instances are full, most are: further tries cost bytes and time and rarely find a slot.
-	// In one run on 86 machines in a burst of twice the load, 8 instead of 4 gained 0.006 of
-	// the day in time and cost 0.021 more for bytes between zones; with 3, two sites differ
-	// from 4 by less than the noise.
+	// With 8, the additional traffic between zones costs more than three times what the
+	// additional answers in time are worth; 3 makes no clear difference.
 	maxFullRefusals = 4
 	// maxBudgetRefusals limits the nodes that may refuse a repeat because the calls of its run
 	// would exceed the repeat budget: where two have no budget for them, most have none.
@@ -55,8 +54,8 @@
 	// of a further send, which depends on the result of the last one that did.
 	arrivals int
 	nextKind repeats.Kind
-	// repeatProbability is the probability that the request is a call made by a run that was
-	// itself a repeat.
+	// repeatProbability is the probability that the request was sent by an instance while it
+	// executed a repeat of another request.
 	repeatProbability float64
 	// repeatReserved is set while a repeat is taken from the budget that has reached no
 	// instance yet; budgetRefusals counts the refusals for lack of repeat budget.
--- a/internal/dataplane/outbound/target_selector_test.go
+++ b/internal/dataplane/outbound/target_selector_test.go
@@ -32,9 +32,8 @@
 
 // TestFleetSharesMatchWeights: 300 nodes with about one request each still distribute requests
 // by weight: within 0.1 over 300 requests, within 0.2 over 200, even when a tenth of the nodes
-// restarts and the weights change. Nodes start at random positions, so that shares vary by
-// chance: of 36,000 windows of 200 and 400 requests, none was off by more than 0.11, none of
-// 400 by more than 0.063.
+// restarts and the weights change. Nodes start at random positions, so shares vary by
+// chance; the limits leave room for that.
 func TestFleetSharesMatchWeights(t *testing.T) {
 	const (
 		nodes     = 300
--- a/internal/mirror/concurrent_watch.go
+++ b/internal/mirror/concurrent_watch.go
@@ -16,11 +16,11 @@
 const (
 	// largeResponseBytes is the response size from which a read delays later changes noticeably:
 	// 0.1 s on a 5 Mbit/s link, or about 200 instance entries. With 16 KB, a starting fleet of 295
-	// nodes made 1,100 additional calls to the store.
+	// nodes would make about 1,100 more calls to the store.
 	largeResponseBytes = 64 << 10
 	// concurrentWatchTime is how long the concurrent watches continue after the last bytes of a
 	// large response. Operators change a configuration in steps, so large responses come in series;
-	// ending the watches with each response cost 1.5 times as many calls to the store.
+	// ending the watches with each response would take 1.5 times as many calls to the store.
 	concurrentWatchTime = 2 * time.Second
 	// concurrentWatchInterval is the minimum time between two watches of one scope when the read's
 	// context specifies no gather time.
@@ -32,7 +32,7 @@
 
 // concurrentWatcher watches instances and evacuations while large responses are being received.
 // A configuration of 640 KB takes over a second at 5 Mbit/s; without the watcher, instances that
-// started draining meanwhile received requests until all of it had arrived.
+// started draining meanwhile would receive requests until all of it has arrived.
 type concurrentWatcher struct {
 	mirror *Mirror
 	// lifetime ends when the mirror is closed.
@@ -40,8 +40,8 @@
 	cancel   context.CancelFunc
 	watching sync.WaitGroup
 
-	mutex       sync.Mutex // guards the fields below
-	until       time.Time
+	mutex       sync.Mutex     // guards the fields below
+	watchUntil  time.Time      // when the concurrent watches end
 	minInterval time.Duration  // the minimum time between two watches of one scope
 	scopes      map[Scope]bool // the scopes being watched
 }
@@ -60,7 +60,7 @@
 // withConcurrentWatches returns a context for reads: while one of them receives a large response,
 // instances and evacuations are watched concurrently. Before the first configuration no change can
 // take effect, and all nodes of a starting fleet read that configuration at once: concurrent
-// watches by 80 nodes added 800 calls to the store in three seconds.
+// watches by 80 nodes would add about 800 calls to the store.
 func (m *Mirror) withConcurrentWatches(ctx context.Context) context.Context {
 	if m.onChanges == nil || !m.isComplete() {
 		return ctx
@@ -74,7 +74,7 @@
 func (w *concurrentWatcher) extend(after snapshot.Revision, minInterval time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.until, w.minInterval = clock.Now().Add(concurrentWatchTime), minInterval
+	w.watchUntil, w.minInterval = clock.Now().Add(concurrentWatchTime), minInterval
 	for _, scope := range []Scope{ScopeInstances, ScopeEvacuations} {
 		if w.scopes[scope] || w.lifetime.Err() != nil {
 			continue
@@ -111,7 +111,7 @@
 func (w *concurrentWatcher) timeLeft(scope Scope, failures int) (remaining, minInterval time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	remaining = clock.Until(w.until)
+	remaining = clock.Until(w.watchUntil)
 	if remaining <= 0 || failures >= maxConcurrentWatchFailures || w.lifetime.Err() != nil {
 		delete(w.scopes, scope)
 		return 0, 0
--- a/internal/mirror/concurrent_watch_test.go
+++ b/internal/mirror/concurrent_watch_test.go
@@ -156,8 +156,8 @@
 }
 
 // TestNewInstancesComeWithTheDocument: a new ready instance is not published ahead of its document,
-// a changed one is. Otherwise, while 300 nodes start, each sends all instances to all others; the
-// traffic between zones then cost an additional 0.04 of a day's value.
+// a changed one is. Otherwise each of 300 starting nodes would send all instances to all others,
+// which costs much traffic between zones.
 func TestNewInstancesComeWithTheDocument(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
@@ -185,7 +185,7 @@
 
 // TestNoConcurrentWatchBeforeFirstConfiguration: all nodes of a starting fleet read the large first
 // configuration at once. No change can take effect before it, so no node watches instances
-// concurrently; otherwise 80 nodes made about 800 calls to the store in three seconds.
+// concurrently; otherwise 80 nodes would make about 800 more calls to the store.
 func TestNoConcurrentWatchBeforeFirstConfiguration(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
@@ -209,8 +209,8 @@
 }
 
 // TestManyInstancesAreNotALargeResponse: the entries of a hundred instances take no longer to
-// receive than concurrent watches would. When 295 starting nodes watched concurrently for such
-// responses, they made 1,100 calls to the store in two seconds.
+// receive than concurrent watches would, and 295 starting nodes that watch concurrently for such
+// responses would make about 1,100 calls to the store.
 func TestManyInstancesAreNotALargeResponse(t *testing.T) {
 	const instances = 100
 	c := qt.New(t)
--- a/internal/mirror/pages_test.go
+++ b/internal/mirror/pages_test.go
@@ -31,9 +31,9 @@
 	return page, outcome
 }
 
-// TestCompilationDoesNotTimeOutList: a list of several pages compileTime its configuration before it
-// requests the next page. On a small machine that takes longer than the read timeout, and every list
-// failed as if the store had stopped responding.
+// TestCompilationDoesNotTimeOutList: a list of several pages compiles its configuration before it
+// requests the next page. The read timeout must not count that time, or on a small machine every
+// list would fail as if the store had stopped responding.
 func TestCompilationDoesNotTimeOutList(t *testing.T) {
 	const (
 		readTimeout = time.Second
--- a/internal/mirror/relist_test.go
+++ b/internal/mirror/relist_test.go
@@ -20,9 +20,8 @@
 var errInvalid = errors.New("invalid configuration")
 
 // TestListsAfterInterruptedWatch: a watch returns everything written since a revision, so each
-// retry after an interrupted response is larger. While changes went on, three readers retried one
-// revision 332 times, although a list would have given them the newest state at once. After an
-// interrupted response the store is listed, as a list does not grow with what was missed.
+// retry after an interrupted response is larger, and while changes go on none may complete. After
+// an interrupted response the store is listed, as a list does not grow with what was missed.
 func TestListsAfterInterruptedWatch(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
@@ -87,9 +86,8 @@
 
 // TestBacklogIsListed: a reader that takes over, had no response for a while or reads more slowly
 // than changes are written would be sent all configurations since its revision, of which only the
-// newest counts: 4.2 MB in 2.1 s where the newest had 0.6 MB. The store is listed instead. A
-// response smaller than the whole content is still read with a watch, as a list would delay
-// instance changes.
+// newest counts. The store is listed instead. A response smaller than the whole content is still
+// read with a watch, as a list would delay instance changes.
 func TestBacklogIsListed(t *testing.T) {
 	large := func(version int) []byte {
 		return append(configuration(version, "a"), bytes.Repeat([]byte(" "), 100<<10)...)
@@ -129,11 +127,10 @@
 	}
 }
 
-// TestListWithABadConfigurationIsNotOlder: a node resumed reading after a long time, the store had
-// compacted its history, and its current configuration was invalid. The node kept the configuration
-// it had read at its start as the last valid one, and 80 nodes put that in force: requests to newer
-// routes got 404. A node that lists must build no document until it reads a valid configuration,
-// but it still publishes instance changes.
+// TestListWithABadConfigurationIsNotOlder: a node that resumes reading after a long time
+// lists a store whose current configuration is invalid. The configuration that it read last may be
+// outdated, and a document with it would remove newer routes. The node must build no document until
+// it reads a valid configuration, but it still publishes instance changes.
 func TestListWithABadConfigurationIsNotOlder(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
--- a/internal/mirror/restore_test.go
+++ b/internal/mirror/restore_test.go
@@ -42,9 +42,9 @@
 	return r, held, published
 }
 
-// TestRestoredStore: a store restored from a backup assigns revisions again. Its lists were dropped
-// as older than the state already read, at each poll. A restored store must be read with one list,
-// after which the watch continues from there.
+// TestRestoredStore: a store restored from a backup assigns revisions again, so its lists may seem
+// older than the state already read. It must be read with one list, after which the watch continues
+// from there.
 func TestRestoredStore(t *testing.T) {
 	c := qt.New(t)
 	r, held, published := newRestoredHarness(t, c)
@@ -115,10 +115,10 @@
 	c.Check(r.follow(c, 0).Content().Instances, qt.HasLen, 0)
 }
 
-// TestBackupLacksInstances: after an outage the store came back from a backup made before most
-// instances had started. Withholding that list until they were written again, up to two seconds,
-// also delayed a configuration that had been accepted meanwhile. Nodes themselves retain what the
-// backup lacks, so the list is published at once. Leases that expire later are still withheld.
+// TestBackupLacksInstances: after an outage the store is restored from a backup made before most
+// instances had started. Nodes themselves retain what the backup lacks, so the list is published at
+// once: withholding it until they are written again, up to two seconds, would also delay
+// configurations accepted meanwhile. Leases that expire later are still withheld.
 func TestBackupLacksInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,8 +19,8 @@
 	Outbound Outbound `yaml:"outbound"`
 	Inbound  Inbound  `yaml:"inbound"`
 	Retries  Retries  `yaml:"retries"`
-	// Mechanisms of the data plane are enabled unless the effect of one is to be
-	// measured (store).
+	// Mechanisms of the data plane are all enabled by default; disabling one shows
+	// its effect. They apply with a store only.
 	Mechanisms mechanism.Set `yaml:"mechanisms"`
 	Admin      Admin         `yaml:"admin"`
 	TLS        TLS           `yaml:"tls"`
--- a/internal/snapshot/document.go
+++ b/internal/snapshot/document.go
@@ -272,7 +272,7 @@
 		total += len(resource.Key.Name) + len(resource.Body)
 	}
 	if total > MaxDocumentBytes {
-		return eris.Errorf("the document has %d bytes, at maximum %d are allowed", total, MaxDocumentBytes)
+		return eris.Errorf("the document has %d bytes, at most %d are allowed", total, MaxDocumentBytes)
 	}
 	return nil
 }
--- a/internal/snapshot/fleet.go
+++ b/internal/snapshot/fleet.go
@@ -72,7 +72,7 @@
 }
 
 // WithChanges returns a snapshot with the same routes, services and secrets for a document. Its
-// instances and evacuations are those of the document, with later changes and retained statements
+// instances and evacuations are those of the document, with later changes and retained states
 // applied.
 func (s *Snapshot) WithChanges(document *Document, changes *Changes, retained *Retained) *Snapshot {
 	next := s.WithFleet(document.version, retained.Apply(changes.Apply(document.content)))
--- a/internal/snapshot/retained.go
+++ b/internal/snapshot/retained.go
@@ -7,7 +7,7 @@
 
 // Retained holds what was known of instances and evacuations when the source was restored from a
 // backup of itself. The backup may lack the latest acknowledged writes, or contain what was removed
-// since. A retained statement takes precedence over the source until the source has an equally late
+// since. A retained state takes precedence over the source until the source has an equally late
 // state for the same name, or until the owner drops it. The zero value is empty.
 type Retained struct {
 	// epoch is the epoch of the source after it was restored.
@@ -49,10 +49,10 @@
 	Zones     []string
 }
 
-// Len returns the number of retained statements.
+// Len returns the number of retained states.
 func (r *Retained) Len() int { return len(r.instances) + len(r.evacuated) }
 
-// Drop drops all statements and returns how many of them the content contradicts.
+// Drop drops all retained states and returns how many of them the content contradicts.
 func (r *Retained) Drop(content Content) (contradicted int) {
 	listed := instancesByName(content.Instances)
 	for name, retained := range r.instances {
@@ -69,7 +69,7 @@
 	return contradicted
 }
 
-// DropMissing drops the statements about instances that the content does not list, and returns their
+// DropMissing drops the states of instances that the content does not list, and returns their
 // number.
 func (r *Retained) DropMissing(content Content) (dropped int) {
 	listed := instancesByName(content.Instances)
@@ -104,7 +104,7 @@
 	}
 }
 
-// Settle drops the statements that the restored source has caught up with, in the document in force
+// Settle drops the states that the restored source has caught up with, in the document in force
 // or in later changes.
 func (r *Retained) Settle(document Content, changes *Changes) {
 	if r.Len() == 0 {
@@ -142,7 +142,7 @@
 	return r.instance.Supersedes(listed)
 }
 
-// Apply returns the content with retained statements in place of what is older or missing.
+// Apply returns the content with retained states in place of what is older or missing.
 func (r *Retained) Apply(content Content) Content {
 	if r.Len() == 0 {
 		return content
--- a/internal/source/decode.go
+++ b/internal/source/decode.go
@@ -19,14 +19,14 @@
 	Members  []membership.ListedMember `json:"members"`
 }
 
-// decodeHead decodes the body of the head: the platform's current version.
+// decodeHead decodes the body that states the platform's current version.
 func decodeHead(body []byte) (snapshot.Version, error) {
 	var version snapshot.Version
 	if err := decodeStrict(body, &version); err != nil {
 		return snapshot.Version{}, err
 	}
 	if version.Revision == 0 || version.Hash == (snapshot.ContentHash{}) {
-		return snapshot.Version{}, eris.New("the head has no revision or no hash")
+		return snapshot.Version{}, eris.New("the platform's current version has no revision or no hash")
 	}
 	return version, nil
 }
--- a/internal/source/stall.go
+++ b/internal/source/stall.go
@@ -40,8 +40,8 @@
 }
 
 // WithPatience returns a context that ends if nothing of an answer has arrived after
-// firstTimeout, or later if less than minProgressBytes arrive within stallTimeout. Whoever
-// reads the answer reports what arrives with Progress. The caller must call the returned
+// firstTimeout, or later if less than minProgressBytes arrive within stallTimeout. The
+// reader of the answer reports what arrives with Progress. The caller must call the returned
 // function to release the context.
 func WithPatience(parent context.Context, firstTimeout, stallTimeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
@@ -74,15 +74,15 @@
 // counts as progress.
 func Progress(ctx context.Context, bytes int) {
 	if threshold, ok := ctx.Value(byteThresholdKey{}).(*byteThreshold); ok {
-		threshold.progress(bytes)
+		threshold.addReceived(bytes)
 	}
 	t, _ := ctx.Value(stallTimerKey{}).(*stallTimer)
 	for ; t != nil; t = t.parent {
-		t.progress(bytes)
+		t.addReceived(bytes)
 	}
 }
 
-func (t *stallTimer) progress(bytes int) {
+func (t *stallTimer) addReceived(bytes int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.received += bytes
--- a/internal/source/threshold.go
+++ b/internal/source/threshold.go
@@ -16,13 +16,13 @@
 }
 
 // WhileLarge returns a context whose reads call reached each time that they have together
-// received so many more bytes. The call is made while the rest of an answer is still being
-// received, so reached must not block.
+// received the given number of further bytes. The call is made while the rest of an answer is
+// still being received, so reached must not block.
 func WhileLarge(parent context.Context, bytes int, reached func()) context.Context {
 	return context.WithValue(parent, byteThresholdKey{}, &byteThreshold{step: bytes, remaining: bytes, reached: reached})
 }
 
-func (t *byteThreshold) progress(bytes int) {
+func (t *byteThreshold) addReceived(bytes int) {
 	t.mutex.Lock()
 	t.remaining -= bytes
 	isReached := t.remaining <= 0
--- a/internal/suspects/benchmark_test.go
+++ b/internal/suspects/benchmark_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// BenchmarkAssess gives the cost per request while nothing is suspected (2 ns, an atomic load)
-// and while something is (1.0 us without a body, 50 us with a body of 64 KB, mostly hashing). The
-// figures are from a machine that was also busy with other work.
+// BenchmarkAssess gives the cost per request while nothing is suspected (an atomic load)
+// and while something is (mostly hashing of the body).
 func BenchmarkAssess(b *testing.B) {
 	for _, bytes := range []int{0, 64 << 10} {
 		for _, suspected := range []bool{false, true} {
