--- a/internal/dataplane/coldstart/phase.go
+++ b/internal/dataplane/coldstart/phase.go
@@ -10,17 +10,17 @@
 // entry states the remaining time. It counts from when the entry was first seen, which is
 // slightly after it was written and therefore errs on the safe side.
 type Phase struct {
-	life            snapshot.Life
+	process         snapshot.Life
 	listedRemaining time.Duration
 	until           time.Time
 }
 
-// Follow applies the current entry of an instance. A different life is a new process at the
+// Follow applies the current entry of an instance. A different Life is a new process at the
 // same address, which is cold again even if its entry equals that of the former one.
 func (p *Phase) Follow(instance snapshot.Instance, now time.Time) {
 	remaining := time.Duration(instance.WarmUpMillis) * time.Millisecond
-	if life := instance.Life(); life != p.life || remaining != p.listedRemaining {
-		p.life, p.listedRemaining, p.until = life, remaining, endOf(remaining, now)
+	if process := instance.Life(); process != p.process || remaining != p.listedRemaining {
+		p.process, p.listedRemaining, p.until = process, remaining, endOf(remaining, now)
 	}
 }
 
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -32,7 +32,7 @@
 		cancel()
 		slot.Release(false)
 		if reason == hop.ReasonWrongInstance {
-			p.stale.add(p.lifeOf(order.Instance))
+			p.stale.add(p.processOf(order.Instance))
 		}
 		return Delivery{Report: p.report(hop.Rejected, reason)}
 	}
@@ -45,8 +45,8 @@
 	return p.forwardResponse(response, request, order, started, slot, cancel)
 }
 
-// lifeOf returns the current life of an instance, or just its name if it is not listed.
-func (p *Proxy) lifeOf(name string) snapshot.Life {
+// processOf returns the current process of an instance, or just its name if it is not listed.
+func (p *Proxy) processOf(name string) snapshot.Life {
 	if current := p.options.Snapshots.Current(); current != nil {
 		if instance, listed := current.Instance(name); listed {
 			return instance.Life()
--- a/internal/proxy/outbound/metrics.go
+++ b/internal/proxy/outbound/metrics.go
@@ -49,7 +49,7 @@
 	}
 	for _, collector := range []prometheus.Collector{requests, result.duration, result.retries, result.budgetEmpty, result.ejections} {
 		if err := registerer.Register(collector); err != nil {
-			return nil, eris.Wrap(err, "outbound proxy: metrics")
+			return nil, eris.Wrap(err, "outbound proxy: register metrics")
 		}
 	}
 	return result, nil
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -38,7 +38,7 @@
 	MaxQueued int `json:"max_queued,omitempty"`
 }
 
-// SecretHeader attaches a secret to the requests sent to the back end.
+// SecretHeader attaches a secret to the requests sent to the backend.
 type SecretHeader struct {
 	// Header is the canonical name of the header to set.
 	Header string `json:"header"`
