--- a/internal/configuration/changes_test.go
+++ b/internal/configuration/changes_test.go
@@ -54,7 +54,7 @@
 	case "evacuation ended":
 		return snapshot.EvacuationChange(revision, "z", false)
 	default:
-		return snapshot.InstanceGone(revision, name)
+		return snapshot.InstanceRemoval(revision, name)
 	}
 }
 
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -77,7 +77,7 @@
 	if instance, listed := s.instance(name); listed {
 		s.changes = append(s.changes, snapshot.InstanceChange(s.revision, instance))
 	} else {
-		s.changes = append(s.changes, snapshot.InstanceGone(s.revision, name))
+		s.changes = append(s.changes, snapshot.InstanceRemoval(s.revision, name))
 	}
 }
 
--- a/internal/dataplane/inbound/check_test.go
+++ b/internal/dataplane/inbound/check_test.go
@@ -36,11 +36,11 @@
 	}{
 		"draining":                          {snapshot.InstanceChange(12, draining), 10, hop.ReasonDraining},
 		"draining, sender's document newer": {snapshot.InstanceChange(12, draining), 20, hop.ReasonDraining},
-		"removed":                           {snapshot.InstanceGone(12, "i-1"), 10, hop.ReasonDraining},
-		"removed, sender's document newer than the node's": {snapshot.InstanceGone(12, "i-1"), 11, hop.ReasonDraining},
-		"removed, sender's document newer than the change": {snapshot.InstanceGone(12, "i-1"), 13, hop.ReasonNone},
+		"removed":                           {snapshot.InstanceRemoval(12, "i-1"), 10, hop.ReasonDraining},
+		"removed, sender's document newer than the node's": {snapshot.InstanceRemoval(12, "i-1"), 11, hop.ReasonDraining},
+		"removed, sender's document newer than the change": {snapshot.InstanceRemoval(12, "i-1"), 13, hop.ReasonNone},
 		"zone evacuated":           {snapshot.EvacuationChange(12, "z", true), 10, hop.ReasonEvacuated},
-		"another instance removed": {snapshot.InstanceGone(12, "i-2"), 10, hop.ReasonNone},
+		"another instance removed": {snapshot.InstanceRemoval(12, "i-2"), 10, hop.ReasonNone},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var changes snapshot.Changes
--- a/internal/distribution/fleet_changes_test.go
+++ b/internal/distribution/fleet_changes_test.go
@@ -42,7 +42,7 @@
 	})
 	t.Run("an older change is ignored", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 2, Duplicates: 0.2}, nil)
-		s.ReadChanges(machine(0).Name, snapshot.InstanceGone(8, "i"))
+		s.ReadChanges(machine(0).Name, snapshot.InstanceRemoval(8, "i"))
 		s.Run(floodTime)
 		frames, _ := s.Sent()
 		s.ReadChanges(machine(0).Name, leaving(7, "i"))
--- a/internal/mirror/changes.go
+++ b/internal/mirror/changes.go
@@ -51,7 +51,7 @@
 	case item.Name == "" || revision == 0:
 		return snapshot.Change{}, false
 	case item.Kind == KindInstance && (item.Gone || validateItem(item, options) != nil):
-		return snapshot.InstanceGone(revision, item.Name), true
+		return snapshot.InstanceRemoval(revision, item.Name), true
 	case item.Kind == KindInstance:
 		return snapshot.InstanceChange(revision, *item.Instance), true
 	case item.Kind == KindEvacuation && validateItem(item, options) == nil:
--- a/internal/mirror/concurrent_watch_test.go
+++ b/internal/mirror/concurrent_watch_test.go
@@ -29,7 +29,7 @@
 		// bytesPerSecond makes the configuration take over a second.
 		bytesPerSecond = 100_000
 	)
-	gone, draining := snapshot.InstanceGone, snapshot.Lifecycle(snapshot.InstanceDraining)
+	gone, draining := snapshot.InstanceRemoval, snapshot.Lifecycle(snapshot.InstanceDraining)
 	for name, row := range map[string]struct {
 		write func(emulated *store.Store) snapshot.Revision
 		is    func(change snapshot.Change) bool
--- a/internal/snapshot/change.go
+++ b/internal/snapshot/change.go
@@ -27,8 +27,8 @@
 	return Change{Revision: revision, Key: Key{Kind: KindInstance, Name: instance.Name}, Instance: &instance}
 }
 
-// InstanceGone returns the change that removes the instance of a name.
-func InstanceGone(revision Revision, name string) Change {
+// InstanceRemoval returns the change that removes the instance of a name.
+func InstanceRemoval(revision Revision, name string) Change {
 	return Change{Revision: revision, Key: Key{Kind: KindInstance, Name: name}}
 }
 
--- a/internal/snapshot/change_test.go
+++ b/internal/snapshot/change_test.go
@@ -13,7 +13,7 @@
 func TestChangeRoundTrip(t *testing.T) {
 	for name, change := range map[string]Change{
 		"listed":           InstanceChange(7, testInstance("i-1", InstanceDraining)),
-		"gone":             InstanceGone(8, "i-1"),
+		"gone":             InstanceRemoval(8, "i-1"),
 		"evacuated":        EvacuationChange(9, "z", true),
 		"evacuation ended": EvacuationChange(10, "z", false),
 	} {
@@ -64,8 +64,8 @@
 	added := changes.Add([]Change{
 		InstanceChange(12, testInstance("i-1", InstanceDraining)),
 		InstanceChange(11, testInstance("i-1", InstanceReady)), // arrives late
-		InstanceGone(11, "i-2"),
-		InstanceGone(10, "i-3"), // already included in the document
+		InstanceRemoval(11, "i-2"),
+		InstanceRemoval(10, "i-3"), // already included in the document
 		InstanceChange(13, testInstance("i-4", InstanceReady)),
 		InstanceChange(13, foreign),
 		EvacuationChange(11, "y", false),
