--- a/internal/distribution/fleet_changes.go
+++ b/internal/distribution/fleet_changes.go
@@ -53,7 +53,7 @@
 func (e *Engine) onFleetChanges(l *link, m *wire.FleetChanges) {
 	received := make([]AgedChange, 0, len(m.Changes))
 	for _, change := range m.Changes {
-		decoded, err := snapshot.ChangeOf(change.Revision, change.Resource)
+		decoded, err := snapshot.DecodeChange(change.Revision, change.Resource)
 		if err != nil {
 			e.faulty(l, "it sent an invalid fleet change: "+err.Error())
 			return
--- a/internal/snapshot/change.go
+++ b/internal/snapshot/change.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// ChangeOf decodes a change from a resource in encoded form, or returns an error if the resource is
+// DecodeChange decodes a change from a resource in encoded form, or returns an error if the resource is
 // not a valid change.
-func ChangeOf(revision Revision, resource Resource) (Change, error) {
+func DecodeChange(revision Revision, resource Resource) (Change, error) {
 	change := Change{Revision: revision, Key: resource.Key}
 	if revision == 0 {
 		return change, eris.Errorf("%s: the change has no revision", resource.Key)
--- a/internal/snapshot/change_test.go
+++ b/internal/snapshot/change_test.go
@@ -20,7 +20,7 @@
 		t.Run(name, func(t *testing.T) {
 			resource, err := change.Resource()
 			qt.Assert(t, err, qt.IsNil)
-			again, err := ChangeOf(change.Revision, resource)
+			again, err := DecodeChange(change.Revision, resource)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, again, qt.DeepEquals, change)
 		})
@@ -44,7 +44,7 @@
 		"body of other kind": {7, Resource{Key: Key{Kind: KindEvacuation, Name: "i-1"}, Body: listed.Body}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := ChangeOf(row.revision, row.resource)
+			_, err := DecodeChange(row.revision, row.resource)
 			qt.Check(t, err, qt.IsNotNil)
 		})
 	}
