--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -103,7 +103,7 @@
 	a.requestEvaluation()
 	if a.plan == nil {
 		r.retained = snapshot.Retain(r.epoch, snapshot.Content{}, snapshot.Ended{})
-		a.retainEarlierEpochs(a.changes.OfFormerEpochs(r.epoch))
+		a.retainEarlierEpochs(a.changes.BeforeEpoch(r.epoch))
 		return
 	}
 	r.removals.expire(clock.Now())
--- a/internal/snapshot/change.go
+++ b/internal/snapshot/change.go
@@ -130,8 +130,8 @@
 	return content
 }
 
-// OfFormerEpochs returns the changes made before an epoch.
-func (c *Changes) OfFormerEpochs(epoch uint64) (found []Change) {
+// BeforeEpoch returns the changes made before an epoch.
+func (c *Changes) BeforeEpoch(epoch uint64) (found []Change) {
 	for _, change := range c.byKey {
 		if change.Revision.Epoch() < epoch {
 			found = append(found, change)
