--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -197,7 +197,7 @@
 		return a.refuse(document.Version(), ErrConflict)
 	}
 	a.plan = a.plan.WithDocument(document)
-	a.changes.DropUpTo(document.Version().Revision)
+	a.changes.DropThrough(document.Version().Revision)
 	a.reportSnapshot(previous)
 	return nil
 }
@@ -296,7 +296,7 @@
 		return ErrConflict
 	}
 	a.plan, a.conditions = plan, conditions
-	a.changes.DropUpTo(built.Version().Revision)
+	a.changes.DropThrough(built.Version().Revision)
 	if adoption == snapshot.Adopted {
 		a.reportSnapshot(previous)
 	}
--- a/internal/snapshot/change.go
+++ b/internal/snapshot/change.go
@@ -100,8 +100,8 @@
 	return added
 }
 
-// DropUpTo drops the changes that are included in the document of a revision.
-func (c *Changes) DropUpTo(document Revision) {
+// DropThrough drops the changes that are included in the document of a revision.
+func (c *Changes) DropThrough(document Revision) {
 	maps.DeleteFunc(c.byKey, func(_ Key, change Change) bool { return change.Revision <= document })
 }
 
--- a/internal/snapshot/change_test.go
+++ b/internal/snapshot/change_test.go
@@ -80,9 +80,9 @@
 	qt.Check(t, content.Instances, qt.HasLen, 3)
 	qt.Check(t, changes.removedAfter(content.Revision), qt.DeepEquals, map[string]Revision{"i-2": 11})
 
-	changes.DropUpTo(12)
+	changes.DropThrough(12)
 	qt.Check(t, changes.Len(), qt.Equals, 2)
-	changes.DropUpTo(13)
+	changes.DropThrough(13)
 	content.Revision = 13
 	qt.Check(t, changes.Apply(content).Instances, qt.DeepEquals, content.Instances)
 }
