--- a/internal/configuration/changes.go
+++ b/internal/configuration/changes.go
@@ -19,7 +19,7 @@
 	if a.plan == nil || len(added) == 0 && !retained {
 		return
 	}
-	a.restore.retained.Settle(a.plan.Document().Content(), &a.changes)
+	a.restore.retained.DropConfirmed(a.plan.Document().Content(), &a.changes)
 	a.applyFleet()
 }
 
--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -92,7 +92,7 @@
 		a.startRetention()
 	}
 	a.enterEpoch(document.Version().Revision)
-	a.restore.retained.Settle(document.Content(), &a.changes)
+	a.restore.retained.DropConfirmed(document.Content(), &a.changes)
 }
 
 // startRetention starts or restarts the retention of the state known now. The caller must hold the
--- a/internal/snapshot/retained.go
+++ b/internal/snapshot/retained.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// Settle drops the states that the restored source has caught up with, in the document in force
+// DropConfirmed drops the states that the restored source has caught up with, in the document in force
 // or in later changes.
-func (r *Retained) Settle(document Content, changes *Changes) {
+func (r *Retained) DropConfirmed(document Content, changes *Changes) {
 	if r.Len() == 0 {
 		return
 	}
