--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -142,7 +142,7 @@
 	case age < missingRetention:
 		return missingRetention - age, true
 	case age < r.retention:
-		a.dropRetained(r.retained.DropMissing)
+		a.dropRetained(r.retained.DropUnlisted)
 		return r.retention - age, true
 	default:
 		a.dropRetained(r.retained.Drop)
--- a/internal/snapshot/retained.go
+++ b/internal/snapshot/retained.go
@@ -69,9 +69,9 @@
 	return contradicted
 }
 
-// DropMissing drops the states of instances that the content does not list, and returns their
+// DropUnlisted drops the states of instances that the content does not list, and returns their
 // number.
-func (r *Retained) DropMissing(content Content) (dropped int) {
+func (r *Retained) DropUnlisted(content Content) (dropped int) {
 	listed := instancesByName(content.Instances)
 	maps.DeleteFunc(r.instances, func(name string, retained retainedInstance) bool {
 		_, isListed := listed[name]
