--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -102,7 +102,7 @@
 	r.retainedSince = clock.Now()
 	a.requestEvaluation()
 	if a.plan == nil {
-		r.retained = snapshot.Retain(r.epoch, snapshot.Content{}, snapshot.Ended{})
+		r.retained = snapshot.Retain(r.epoch, snapshot.Content{}, snapshot.Removed{})
 		a.retainEarlierEpochs(a.changes.BeforeEpoch(r.epoch))
 		return
 	}
@@ -223,7 +223,7 @@
 	}
 }
 
-func (b *recentRemovals) list() (removed snapshot.Ended) {
+func (b *recentRemovals) list() (removed snapshot.Removed) {
 	for _, remembered := range b.instances {
 		removed.Instances = append(removed.Instances, remembered.instance)
 	}
--- a/internal/snapshot/retained.go
+++ b/internal/snapshot/retained.go
@@ -26,7 +26,7 @@
 
 // Retain returns what is known when a source enters a new epoch: what was listed before, and what was
 // removed shortly before.
-func Retain(epoch uint64, listed Content, ended Ended) Retained {
+func Retain(epoch uint64, listed Content, ended Removed) Retained {
 	retained := Retained{epoch: epoch, instances: make(map[string]retainedInstance), evacuated: make(map[string]bool)}
 	for _, instance := range ended.Instances {
 		retained.instances[instance.Name] = retainedInstance{instance: instance, removed: true}
@@ -43,8 +43,8 @@
 	return retained
 }
 
-// Ended lists instances and evacuations that were removed.
-type Ended struct {
+// Removed lists instances and evacuations that were removed.
+type Removed struct {
 	Instances []Instance
 	Zones     []string
 }
