--- a/internal/bench/storesoak/fleet.go
+++ b/internal/bench/storesoak/fleet.go
@@ -205,10 +205,10 @@
 // Callers hold the machine's mutex.
 func (f *fleet) register(m *machine, state string, coldFor time.Duration) {
 	f.store.PutJSON(store.KeyInstances+m.instance.Name, store.Entry{
-		Born:    m.startedAt.UnixMilli(),
-		Address: m.instance.Address,
-		Info:    store.EntryInfo{Service: m.service, Zone: m.zone, Slots: instanceSlots},
-		Status:  store.EntryStatus{State: state, Sequence: 1, ColdRemainingMs: coldFor.Milliseconds()},
+		StartedMillis: m.startedAt.UnixMilli(),
+		Address:       m.instance.Address,
+		Info:          store.EntryInfo{Service: m.service, Zone: m.zone, Slots: instanceSlots},
+		Status:        store.EntryStatus{State: state, Sequence: 1, ColdRemainingMs: coldFor.Milliseconds()},
 	})
 }
 
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -41,7 +41,7 @@
 		}
 		return delivered
 	}
-	number := int(instance.Born-1)*3 + 1
+	number := int(instance.StartedMillis-1)*3 + 1
 	if instance.State == snapshot.InstanceDraining {
 		number++
 	}
@@ -60,7 +60,7 @@
 func (s *testSource) instance(name string) (snapshot.Instance, bool) {
 	step := lifecycleStepAt(s.steps[name])
 	instance := instanceOf(name, step.state)
-	instance.Born = step.born
+	instance.StartedMillis = step.born
 	return instance, step.state != ""
 }
 
@@ -182,7 +182,7 @@
 	if change.Instance == nil {
 		return 0 // any process of that name may have ended; the snapshot shows which
 	}
-	number := int(change.Instance.Born-1)*3 + 1
+	number := int(change.Instance.StartedMillis-1)*3 + 1
 	if change.Instance.State == snapshot.InstanceDraining {
 		number++
 	}
--- a/internal/dataplane/balance/restart_test.go
+++ b/internal/dataplane/balance/restart_test.go
@@ -20,7 +20,7 @@
 	pick := func(born int64) Choice {
 		choice, found := b.Pick(Request{
 			Route: "r", Target: time.Second, Avoid: func(string) bool { return false }, Now: now,
-			Instances: []snapshot.Instance{{Name: "i", Service: "s", State: snapshot.InstanceReady, Slots: 4, Born: born}},
+			Instances: []snapshot.Instance{{Name: "i", Service: "s", State: snapshot.InstanceReady, Slots: 4, StartedMillis: born}},
 		})
 		c.Assert(found, qt.IsTrue)
 		return choice
--- a/internal/dataplane/coldstart/limit_test.go
+++ b/internal/dataplane/coldstart/limit_test.go
@@ -98,7 +98,7 @@
 	c.Check(phase.Until(), qt.Equals, epoch.Add(6*time.Second))
 	phase.Follow(snapshot.Instance{Name: "i-2"}, epoch.Add(5*time.Second))
 	c.Check(phase.Until(), qt.Equals, time.Time{})
-	phase.Follow(snapshot.Instance{Name: "i-2", Born: 1, WarmUpMillis: 3000}, epoch.Add(6*time.Second))
-	phase.Follow(snapshot.Instance{Name: "i-2", Born: 2, WarmUpMillis: 3000}, epoch.Add(20*time.Second)) // the instance restarted
+	phase.Follow(snapshot.Instance{Name: "i-2", StartedMillis: 1, WarmUpMillis: 3000}, epoch.Add(6*time.Second))
+	phase.Follow(snapshot.Instance{Name: "i-2", StartedMillis: 2, WarmUpMillis: 3000}, epoch.Add(20*time.Second)) // the instance restarted
 	c.Check(phase.Until(), qt.Equals, epoch.Add(23*time.Second))
 }
--- a/internal/emulator/store/content.go
+++ b/internal/emulator/store/content.go
@@ -11,11 +11,11 @@
 
 // Entry is the record that an instance writes about itself.
 type Entry struct {
-	// Born is the start time in Unix milliseconds; zero: unknown.
-	Born    int64       `json:"born,omitempty"`
-	Address string      `json:"address"`
-	Info    EntryInfo   `json:"info"`
-	Status  EntryStatus `json:"status"`
+	// StartedMillis is the start time in Unix milliseconds; zero: unknown.
+	StartedMillis int64       `json:"born,omitempty"`
+	Address       string      `json:"address"`
+	Info          EntryInfo   `json:"info"`
+	Status        EntryStatus `json:"status"`
 }
 
 // EntryInfo is the constant part of an Entry.
--- a/internal/snapshot/address_owner_test.go
+++ b/internal/snapshot/address_owner_test.go
@@ -11,7 +11,7 @@
 // times take precedence over revisions if both are known.
 func TestOwnerOfAddress(t *testing.T) {
 	at := func(name string, born int64, created Revision) Instance {
-		return Instance{Name: name, Service: "s", Address: "10.0.0.1:80", State: InstanceReady, Born: born, Created: created}
+		return Instance{Name: name, Service: "s", Address: "10.0.0.1:80", State: InstanceReady, StartedMillis: born, Created: created}
 	}
 	for name, row := range map[string]struct {
 		listed []Instance
--- a/internal/snapshot/retained.go
+++ b/internal/snapshot/retained.go
@@ -98,7 +98,7 @@
 	default:
 		held, known := r.instances[name]
 		if !known {
-			held.instance = Instance{Name: name, Born: math.MaxInt64} // removes every process of that name
+			held.instance = Instance{Name: name, StartedMillis: math.MaxInt64} // removes every process of that name
 		}
 		r.instances[name] = retainedInstance{instance: held.instance, removed: true}
 	}
@@ -137,7 +137,7 @@
 // supersedes reports whether the retained state is later than the listed instance of the name.
 func (r retainedInstance) supersedes(listed Instance) bool {
 	if r.removed {
-		return r.instance.Born >= listed.Born
+		return r.instance.StartedMillis >= listed.StartedMillis
 	}
 	return r.instance.Supersedes(listed)
 }
--- a/internal/snapshot/typed.go
+++ b/internal/snapshot/typed.go
@@ -42,9 +42,9 @@
 )
 
 // Instance is one process that runs requests, as listed by the source. A restarted process has
-// another name, or the same name and another Born.
+// another name, or the same name and another StartedMillis.
 type Instance struct {
-	// Name and Born together are unique among all instances that ever existed.
+	// Name and StartedMillis together are unique among all instances that ever existed.
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	// Address is where the instance accepts requests from the node beside it (IP:port).
@@ -57,27 +57,27 @@
 	Created Revision `json:"created,omitempty"`
 	// WarmUpMillis is how long the instance stays slow after its entry was first listed.
 	WarmUpMillis int64 `json:"warm_up_ms,omitempty"`
-	// Born is when the process started, in Unix milliseconds; zero if the source does not say,
+	// StartedMillis is when the process started, in Unix milliseconds; zero if the source does not say,
 	// in which case it does not reuse names.
-	Born int64 `json:"born,omitempty"`
+	StartedMillis int64 `json:"born,omitempty"`
 }
 
 // Life identifies one process among those that have used the name of an instance. What is known of
 // an instance applies to one such process and not to the next.
 type Life struct {
-	Name string
-	Born int64
+	Name          string
+	StartedMillis int64
 }
 
 // Life returns the process that the instance describes.
-func (i Instance) Life() Life { return Life{Name: i.Name, Born: i.Born} }
+func (i Instance) Life() Life { return Life{Name: i.Name, StartedMillis: i.StartedMillis} }
 
 // startedAfter reports whether the instance took over its address from another one. Start times are
 // compared if both are known, because a restarted instance keeps the revision at which it was first
 // listed.
 func (i Instance) startedAfter(other Instance) bool {
-	if i.Born > 0 && other.Born > 0 && i.Born != other.Born {
-		return i.Born > other.Born
+	if i.StartedMillis > 0 && other.StartedMillis > 0 && i.StartedMillis != other.StartedMillis {
+		return i.StartedMillis > other.StartedMillis
 	}
 	return i.Created > other.Created
 }
@@ -85,8 +85,8 @@
 // Supersedes reports whether the instance is a later state of its name than other: a later process, or
 // a later state of the same process.
 func (i Instance) Supersedes(other Instance) bool {
-	if i.Born != other.Born {
-		return i.Born > other.Born
+	if i.StartedMillis != other.StartedMillis {
+		return i.StartedMillis > other.StartedMillis
 	}
 	return i.State == InstanceDraining && other.State == InstanceReady
 }
