--- a/internal/dataplane/coldstart/phase.go
+++ b/internal/dataplane/coldstart/phase.go
@@ -10,7 +10,7 @@
 // entry states the remaining time. It counts from when the entry was first seen, which is
 // slightly after it was written and therefore errs on the safe side.
 type Phase struct {
-	process         snapshot.Life
+	process         snapshot.InstanceID
 	listedRemaining time.Duration
 	until           time.Time
 }
@@ -19,7 +19,7 @@
 // same address, which is cold again even if its entry equals that of the former one.
 func (p *Phase) Follow(instance snapshot.Instance, now time.Time) {
 	remaining := time.Duration(instance.WarmUpMillis) * time.Millisecond
-	if process := instance.Life(); process != p.process || remaining != p.listedRemaining {
+	if process := instance.ID(); process != p.process || remaining != p.listedRemaining {
 		p.process, p.listedRemaining, p.until = process, remaining, endOf(remaining, now)
 	}
 }
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -46,13 +46,13 @@
 }
 
 // processOf returns the current process of an instance, or just its name if it is not listed.
-func (p *Proxy) processOf(name string) snapshot.Life {
+func (p *Proxy) processOf(name string) snapshot.InstanceID {
 	if current := p.options.Snapshots.Current(); current != nil {
 		if instance, listed := current.Instance(name); listed {
-			return instance.Life()
+			return instance.ID()
 		}
 	}
-	return snapshot.Life{Name: name}
+	return snapshot.InstanceID{Name: name}
 }
 
 var errNoStamp = errors.New("the instance's response lacks the required stamp header")
--- a/internal/dataplane/inbound/stale.go
+++ b/internal/dataplane/inbound/stale.go
@@ -11,7 +11,7 @@
 // longer serve at their listed address.
 type staleInstances struct {
 	mutex     sync.Mutex
-	processes map[snapshot.Life]time.Time // time at which each was added
+	processes map[snapshot.InstanceID]time.Time // time at which each was added
 }
 
 const (
@@ -21,16 +21,16 @@
 	staleTTL = 10 * time.Second
 )
 
-func (s *staleInstances) add(process snapshot.Life) {
+func (s *staleInstances) add(process snapshot.InstanceID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.processes == nil || len(s.processes) >= maxStale {
-		s.processes = make(map[snapshot.Life]time.Time)
+		s.processes = make(map[snapshot.InstanceID]time.Time)
 	}
 	s.processes[process] = time.Now()
 }
 
-func (s *staleInstances) has(process snapshot.Life) bool {
+func (s *staleInstances) has(process snapshot.InstanceID) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	since, found := s.processes[process]
--- a/internal/snapshot/typed.go
+++ b/internal/snapshot/typed.go
@@ -62,15 +62,15 @@
 	StartedMillis int64 `json:"born,omitempty"`
 }
 
-// Life identifies one process among those that have used the name of an instance. What is known of
+// InstanceID identifies one process among those that have used the name of an instance. What is known of
 // an instance applies to one such process and not to the next.
-type Life struct {
+type InstanceID struct {
 	Name          string
 	StartedMillis int64
 }
 
-// Life returns the process that the instance describes.
-func (i Instance) Life() Life { return Life{Name: i.Name, StartedMillis: i.StartedMillis} }
+// ID returns the process that the instance describes.
+func (i Instance) ID() InstanceID { return InstanceID{Name: i.Name, StartedMillis: i.StartedMillis} }
 
 // startedAfter reports whether the instance took over its address from another one. Start times are
 // compared if both are known, because a restarted instance keeps the revision at which it was first
