--- a/internal/dataplane/inbound/check.go
+++ b/internal/dataplane/inbound/check.go
@@ -21,7 +21,7 @@
 	switch {
 	case current.IsEvacuated(p.options.Zone):
 		return hop.ReasonEvacuated
-	case !listed && order.Revision > uint64(current.KnowsUpTo(order.Instance)):
+	case !listed && order.Revision > uint64(current.KnownRevision(order.Instance)):
 		p.cold.noteUnlisted(order.Instance, current, time.Now())
 		return hop.ReasonNone // the sender's configuration is newer; the instance itself checks its name
 	case !listed, instance.State == snapshot.InstanceDraining:
--- a/internal/snapshot/fleet.go
+++ b/internal/snapshot/fleet.go
@@ -80,9 +80,9 @@
 	return next
 }
 
-// KnowsUpTo returns the revision up to which the snapshot reflects the state of an instance that it
+// KnownRevision returns the revision up to which the snapshot reflects the state of an instance that it
 // does not list.
-func (s *Snapshot) KnowsUpTo(name string) Revision {
+func (s *Snapshot) KnownRevision(name string) Revision {
 	return max(s.version.Revision, s.fleet.removed[name])
 }
 
