--- a/internal/configuration/changes.go
+++ b/internal/configuration/changes.go
@@ -28,7 +28,7 @@
 func (a *Applier) applyFleet() {
 	previous := a.store.Current()
 	next := previous.WithChanges(a.plan.Document(), &a.changes, &a.restore.retained)
-	if !a.store.AdoptFleet(next.Following(previous)) {
+	if !a.store.AdoptFleet(next.WithPrevious(previous)) {
 		return // the next document contains these changes
 	}
 	current := a.store.Current()
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -186,7 +186,7 @@
 func (a *Applier) adoptWithCurrentRoutes(document *snapshot.Document) error {
 	previous := a.store.Current()
 	a.enterDocumentEpoch(document)
-	next := previous.WithChanges(document, &a.changes, &a.restore.retained).Following(previous)
+	next := previous.WithChanges(document, &a.changes, &a.restore.retained).WithPrevious(previous)
 	adoption, err := a.store.Adopt(next)
 	switch {
 	case err != nil:
@@ -285,7 +285,7 @@
 	if a.changes.Len() > 0 || a.restore.retained.Len() > 0 {
 		built = built.WithChanges(plan.Document(), &a.changes, &a.restore.retained)
 	}
-	adoption, err := a.store.Adopt(built.Following(previous))
+	adoption, err := a.store.Adopt(built.WithPrevious(previous))
 	if err != nil {
 		return err
 	}
--- a/internal/snapshot/fleet.go
+++ b/internal/snapshot/fleet.go
@@ -86,9 +86,9 @@
 	return max(s.version.Revision, s.fleet.removed[name])
 }
 
-// Following returns the snapshot as the successor of a previous one, which may be nil, and counts
+// WithPrevious returns the snapshot as the successor of a previous one, which may be nil, and counts
 // the evacuations that have ended since.
-func (s *Snapshot) Following(previous *Snapshot) *Snapshot {
+func (s *Snapshot) WithPrevious(previous *Snapshot) *Snapshot {
 	if previous == nil {
 		return s
 	}
