--- a/internal/dataplane/inbound/cold.go
+++ b/internal/dataplane/inbound/cold.go
@@ -69,7 +69,7 @@
 		c.phase.Follow(instance, now)
 	}
 	service, _ := current.Service(c.service)
-	if returns := current.ZoneReturns(c.zone); returns != c.zoneReturns {
+	if returns := current.EndedEvacuations(c.zone); returns != c.zoneReturns {
 		c.zoneReturns = returns
 		c.phase.AssumeCold(coldDuration(service), now)
 	}
--- a/internal/snapshot/fleet.go
+++ b/internal/snapshot/fleet.go
@@ -106,9 +106,9 @@
 	return &next
 }
 
-// ZoneReturns returns how many evacuations of a zone have ended while this process held a
+// EndedEvacuations returns how many evacuations of a zone have ended while this process held a
 // configuration. The zone's instances may have become cold each time.
-func (s *Snapshot) ZoneReturns(zone string) int { return s.fleet.endedEvacuations[zone] }
+func (s *Snapshot) EndedEvacuations(zone string) int { return s.fleet.endedEvacuations[zone] }
 
 // IsEvacuated reports whether the instances of a zone must not receive requests.
 func (s *Snapshot) IsEvacuated(zone string) bool { return s.fleet.evacuated[zone] }
