--- a/internal/app/store_entries_test.go
+++ b/internal/app/store_entries_test.go
@@ -20,7 +20,7 @@
 	isInForce := func() bool {
 		current := r.machines[0].node.Current()
 		_, listed := current.Instance("i-1")
-		return listed && current.HoldsAddress("i-1") && len(current.Instances("data")) == 2
+		return listed && current.OwnsAddress("i-1") && len(current.Instances("data")) == 2
 	}
 	c.Assert(isInForce(), qt.IsTrue)
 	for name, value := range map[string]string{
@@ -43,7 +43,7 @@
 			r.store.Put("servers/i-1", []byte(value))
 			r.awaitRevision(r.put(2, "ready"))
 			_, listed := r.machines[0].node.Current().Instance("i-1")
-			c.Check(listed && r.machines[0].node.Current().HoldsAddress("i-1"), qt.IsFalse)
+			c.Check(listed && r.machines[0].node.Current().OwnsAddress("i-1"), qt.IsFalse)
 			c.Check(r.machines[0].node.Current().Instances("data"), qt.HasLen, 1)
 			r.awaitRevision(r.put(1, "ready"))
 			c.Check(isInForce(), qt.IsTrue)
--- a/internal/dataplane/inbound/check.go
+++ b/internal/dataplane/inbound/check.go
@@ -26,7 +26,7 @@
 		return hop.ReasonNone // the sender's configuration is newer; the instance itself checks its name
 	case !listed, instance.State == snapshot.InstanceDraining:
 		return hop.ReasonDraining
-	case instance.Address != p.options.Backend, !current.HoldsAddress(order.Instance), p.stale.has(instance.ID()):
+	case instance.Address != p.options.Backend, !current.OwnsAddress(order.Instance), p.stale.has(instance.ID()):
 		return hop.ReasonWrongInstance
 	}
 	p.updateSlots(instance.Slots)
--- a/internal/snapshot/fleet.go
+++ b/internal/snapshot/fleet.go
@@ -123,8 +123,8 @@
 // the slice.
 func (s *Snapshot) Instances(service string) []Instance { return s.fleet.byService[service] }
 
-// HoldsAddress reports whether the named instance is listed and is the latest one at its address.
-func (s *Snapshot) HoldsAddress(name string) bool {
+// OwnsAddress reports whether the named instance is listed and is the latest one at its address.
+func (s *Snapshot) OwnsAddress(name string) bool {
 	instance, listed := s.fleet.byName[name]
 	return listed && s.fleet.byAddress[instance.Address].Name == name
 }
--- a/internal/snapshot/fleet_test.go
+++ b/internal/snapshot/fleet_test.go
@@ -26,9 +26,9 @@
 
 	c.Check(current.Instances("a"), qt.DeepEquals, []snapshot.Instance{instances[2]})
 	c.Check(current.Instances("b"), qt.DeepEquals, []snapshot.Instance{instances[0]})
-	c.Check(current.HoldsAddress("i-late"), qt.IsTrue)
-	c.Check(current.HoldsAddress("i-early"), qt.IsFalse)
-	c.Check(current.HoldsAddress("i-unknown"), qt.IsFalse)
+	c.Check(current.OwnsAddress("i-late"), qt.IsTrue)
+	c.Check(current.OwnsAddress("i-early"), qt.IsFalse)
+	c.Check(current.OwnsAddress("i-unknown"), qt.IsFalse)
 	_, listed := current.Instance("i-early")
 	c.Check(listed, qt.IsTrue)
 }
