--- a/internal/distribution/polling.go
+++ b/internal/distribution/polling.go
@@ -78,7 +78,7 @@
 	r := &e.reading
 	held := e.push.heldVersion()
 	e.reportConflict(version, "the source")
-	isStale := version.Revision < held.Revision.OfSource()
+	isStale := version.Revision < held.Revision.Unmarked()
 	if isStale && !r.staleLogged {
 		e.log(LogWarning, "the source is stale: it serves %s, but %s is in force", version, held)
 	}
--- a/internal/snapshot/origin_test.go
+++ b/internal/snapshot/origin_test.go
@@ -21,7 +21,7 @@
 		if (a > b) != later || a.Epoch() != epochA || a.Number() != numberA {
 			t.Fatalf("%s and %s: %d and %d", a, b, a, b)
 		}
-		if marked := a.withKeptConfiguration(); epochA > 0 && (marked <= a || marked >= a.Next() || !marked.IsKeeping() || marked.OfSource() != a) {
+		if marked := a.withKeptConfiguration(); epochA > 0 && (marked <= a || marked >= a.Next() || !marked.IsKeeping() || marked.Unmarked() != a) {
 			t.Fatalf("%s marked is %s", a, marked)
 		}
 		if again, err := ParseRevision(a.String()); err != nil || again != a {
@@ -77,7 +77,7 @@
 			read := originDocument(c, NewRevision(max(row.read.Epoch, 1), 91), row.read, "read")
 			kept, err := read.KeepingNewerConfiguration(held)
 			c.Assert(err, qt.IsNil)
-			c.Check(kept.Version().Revision.OfSource(), qt.Equals, read.Version().Revision)
+			c.Check(kept.Version().Revision.Unmarked(), qt.Equals, read.Version().Revision)
 			c.Check(kept.Version().Newer(read.Version()), qt.Equals, row.kept)
 			c.Check(kept.Content().Instances, qt.DeepEquals, read.Content().Instances)
 			c.Check(SameRouting(kept, held), qt.Equals, row.kept)
--- a/internal/snapshot/version.go
+++ b/internal/snapshot/version.go
@@ -55,8 +55,8 @@
 // Next returns the revision with the next number in the same epoch.
 func (r Revision) Next() Revision { return NewRevision(r.Epoch(), r.Number()+1) }
 
-// OfSource returns the revision of the source's own document, without the mark of a kept configuration.
-func (r Revision) OfSource() Revision { return NewRevision(r.Epoch(), r.Number()) }
+// Unmarked returns the revision of the source's own document, without the mark of a kept configuration.
+func (r Revision) Unmarked() Revision { return NewRevision(r.Epoch(), r.Number()) }
 
 // IsKeeping reports whether the document of the revision keeps a configuration that is newer than the
 // one the source had in that state.
