--- a/internal/cli/progress.go
+++ b/internal/cli/progress.go
@@ -72,7 +72,9 @@
 }
 
 // holds reports whether a member on which held is in force counts as holding revision.
-func holds(held, revision snapshot.Revision) bool { return held >= revision && !held.IsKeeping() }
+func holds(held, revision snapshot.Revision) bool {
+	return held >= revision && !held.KeepsConfiguration()
+}
 
 func refuses(status admin.NodeStatus, revision snapshot.Revision) bool {
 	return status.Refused != nil && status.Refused.Version.Revision == revision
@@ -82,7 +84,7 @@
 	switch {
 	case refuses(status, revision):
 		return "refused it: " + status.Refused.Reason
-	case status.Held.Revision.IsKeeping():
+	case status.Held.Revision.KeepsConfiguration():
 		return fmt.Sprintf("holds %s (%s): keeps a newer configuration than the restored platform has", status.Held, status.State)
 	case status.Held.IsZero():
 		return fmt.Sprintf("holds no version yet (%s)", status.State)
--- a/internal/distribution/push.go
+++ b/internal/distribution/push.go
@@ -273,7 +273,7 @@
 		e.log(LogWarning, "cannot keep the configuration of %s with the instances of %s: %v", newest.Version(), document.Version(), err)
 		return newest
 	}
-	if kept != document && !newest.Version().Revision.IsKeeping() {
+	if kept != document && !newest.Version().Revision.KeepsConfiguration() {
 		e.log(LogWarning, "the source was restored with configuration %d; keeping %d until the source serves one that is not older",
 			document.Origin().Number, newest.Origin().Number)
 	}
--- a/internal/distribution/restore_test.go
+++ b/internal/distribution/restore_test.go
@@ -84,7 +84,7 @@
 			f.Platform.SetDown(false)
 			kept, err := f.Platform.Restore(numberedDocument(snapshot.NewRevision(2, 30), 17, "i-1", "i-2"))
 			c.Assert(err, qt.IsNil)
-			c.Assert(kept.Version().Revision.IsKeeping(), qt.IsTrue)
+			c.Assert(kept.Version().Revision.KeepsConfiguration(), qt.IsTrue)
 			c.Assert(f.RunUntil(5*time.Second, holds(kept.Version())), qt.IsTrue, qt.Commentf("the restored source"))
 			f.Kill(f.Machines()[1])
 			f.Run(100 * time.Millisecond)
--- a/internal/snapshot/origin_test.go
+++ b/internal/snapshot/origin_test.go
@@ -21,7 +21,7 @@
 		if (a > b) != later || a.Epoch() != epochA || a.Number() != numberA {
 			t.Fatalf("%s and %s: %d and %d", a, b, a, b)
 		}
-		if marked := a.withKeptConfiguration(); epochA > 0 && (marked <= a || marked >= a.Next() || !marked.IsKeeping() || marked.Unmarked() != a) {
+		if marked := a.withKeptConfiguration(); epochA > 0 && (marked <= a || marked >= a.Next() || !marked.KeepsConfiguration() || marked.Unmarked() != a) {
 			t.Fatalf("%s marked is %s", a, marked)
 		}
 		if again, err := ParseRevision(a.String()); err != nil || again != a {
@@ -82,7 +82,7 @@
 			c.Check(kept.Content().Instances, qt.DeepEquals, read.Content().Instances)
 			c.Check(SameRouting(kept, held), qt.Equals, row.kept)
 			c.Check(SameRouting(kept, read), qt.Equals, !row.kept)
-			c.Check(kept.Version().Revision.IsKeeping(), qt.Equals, row.kept)
+			c.Check(kept.Version().Revision.KeepsConfiguration(), qt.Equals, row.kept)
 			again, err := read.KeepingNewerConfiguration(kept)
 			c.Assert(err, qt.IsNil)
 			c.Check(again.Version(), qt.Equals, kept.Version())
--- a/internal/snapshot/version.go
+++ b/internal/snapshot/version.go
@@ -58,9 +58,9 @@
 // Unmarked returns the revision of the source's own document, without the mark of a kept configuration.
 func (r Revision) Unmarked() Revision { return NewRevision(r.Epoch(), r.Number()) }
 
-// IsKeeping reports whether the document of the revision keeps a configuration that is newer than the
+// KeepsConfiguration reports whether the document of the revision keeps a configuration that is newer than the
 // one the source had in that state.
-func (r Revision) IsKeeping() bool { return r.Epoch() > 0 && r&keptConfigurationBit > 0 }
+func (r Revision) KeepsConfiguration() bool { return r.Epoch() > 0 && r&keptConfigurationBit > 0 }
 
 // withKeptConfiguration returns the revision of the document that keeps a newer configuration.
 func (r Revision) withKeptConfiguration() Revision {
@@ -80,7 +80,7 @@
 		return strconv.FormatUint(r.Number(), 10)
 	}
 	text := fmt.Sprintf("%d:%d", r.Epoch(), r.Number())
-	if r.IsKeeping() {
+	if r.KeepsConfiguration() {
 		text += keptConfigurationSuffix
 	}
 	return text
