--- a/internal/distribution/push.go
+++ b/internal/distribution/push.go
@@ -268,7 +268,7 @@
 	if newest == nil || !document.Version().Newer(newest.Version()) {
 		return document
 	}
-	kept, err := document.KeepingNewerConfiguration(newest)
+	kept, err := document.WithNewerConfiguration(newest)
 	if err != nil {
 		e.log(LogWarning, "cannot keep the configuration of %s with the instances of %s: %v", newest.Version(), document.Version(), err)
 		return newest
--- a/internal/distribution/restore_table_test.go
+++ b/internal/distribution/restore_table_test.go
@@ -79,7 +79,7 @@
 // which keep a configuration with a higher number.
 func (f *restoredFleet) publishAt(number uint64, changes []snapshot.Change) {
 	document := numberedDocument(f.at, number, "i-1")
-	kept, err := document.KeepingNewerConfiguration(f.inForce)
+	kept, err := document.WithNewerConfiguration(f.inForce)
 	f.c.Assert(err, qt.IsNil)
 	if kept == document {
 		f.inForce = document
--- a/internal/distribution/simulation/platform.go
+++ b/internal/distribution/simulation/platform.go
@@ -79,7 +79,7 @@
 // Restore makes a document current as that of a source restored from a backup. It returns the
 // document expected at nodes that keep their newer configuration.
 func (p *Platform) Restore(document *snapshot.Document) (*snapshot.Document, error) {
-	kept, err := document.KeepingNewerConfiguration(p.current)
+	kept, err := document.WithNewerConfiguration(p.current)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/snapshot/origin.go
+++ b/internal/snapshot/origin.go
@@ -19,9 +19,9 @@
 // Origin returns the origin of the document's configuration.
 func (d *Document) Origin() Origin { return d.content.Origin }
 
-// KeepingNewerConfiguration returns the document, or its successor with the configuration of held, the
+// WithNewerConfiguration returns the document, or its successor with the configuration of held, the
 // document in force before, if that configuration must stay in force. held may be nil.
-func (d *Document) KeepingNewerConfiguration(held *Document) (*Document, error) {
+func (d *Document) WithNewerConfiguration(held *Document) (*Document, error) {
 	if held == nil || !held.content.Origin.takesPrecedenceOver(d.content.Origin) {
 		return d, nil
 	}
--- a/internal/snapshot/origin_test.go
+++ b/internal/snapshot/origin_test.go
@@ -56,9 +56,9 @@
 	return document
 }
 
-// TestKeepingNewerConfiguration: a configuration is kept only against an older one of another epoch.
+// TestWithNewerConfiguration: a configuration is kept only against an older one of another epoch.
 // Within an epoch the source's order is followed, and unknown numbers are not compared.
-func TestKeepingNewerConfiguration(t *testing.T) {
+func TestWithNewerConfiguration(t *testing.T) {
 	for name, row := range map[string]struct {
 		held, read Origin
 		kept       bool
@@ -75,7 +75,7 @@
 			c := qt.New(t)
 			held := originDocument(c, NewRevision(1, 90), row.held, "held")
 			read := originDocument(c, NewRevision(max(row.read.Epoch, 1), 91), row.read, "read")
-			kept, err := read.KeepingNewerConfiguration(held)
+			kept, err := read.WithNewerConfiguration(held)
 			c.Assert(err, qt.IsNil)
 			c.Check(kept.Version().Revision.Unmarked(), qt.Equals, read.Version().Revision)
 			c.Check(kept.Version().Newer(read.Version()), qt.Equals, row.kept)
@@ -83,7 +83,7 @@
 			c.Check(SameRouting(kept, held), qt.Equals, row.kept)
 			c.Check(SameRouting(kept, read), qt.Equals, !row.kept)
 			c.Check(kept.Version().Revision.KeepsConfiguration(), qt.Equals, row.kept)
-			again, err := read.KeepingNewerConfiguration(kept)
+			again, err := read.WithNewerConfiguration(kept)
 			c.Assert(err, qt.IsNil)
 			c.Check(again.Version(), qt.Equals, kept.Version())
 			passedOn, err := Diff(nil, kept).Apply(nil)
@@ -92,7 +92,7 @@
 		})
 	}
 	first := originDocument(qt.New(t), 1, Origin{Number: 1}, "r")
-	alone, err := first.KeepingNewerConfiguration(nil)
+	alone, err := first.WithNewerConfiguration(nil)
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, alone, qt.Equals, first)
 }
