--- a/internal/snapshot/explain.go
+++ b/internal/snapshot/explain.go
@@ -17,8 +17,8 @@
 	VerdictHeader   Verdict = "other header"
 )
 
-// Consideration is a route with its verdict for a request.
-type Consideration struct {
+// RouteVerdict is a route with its verdict for a request.
+type RouteVerdict struct {
 	Route   *Route  `json:"route"`
 	Verdict Verdict `json:"verdict"`
 	// Header names the header that does not match; it is set with VerdictHeader.
@@ -28,8 +28,8 @@
 // Explain returns all routes in matching order, each with its verdict for the request. The chosen
 // route, if any, is the one that Lookup returns. Explain is meant for operators and slower than
 // Lookup.
-func (s *Snapshot) Explain(method, host, path string, header http.Header) []Consideration {
-	considerations := make([]Consideration, 0, len(s.routes))
+func (s *Snapshot) Explain(method, host, path string, header http.Header) []RouteVerdict {
+	considerations := make([]RouteVerdict, 0, len(s.routes))
 	chosen := s.Lookup(method, host, path, header)
 	for i := range s.routes {
 		consideration := evaluate(&s.routes[i], method, host, path, header)
@@ -42,8 +42,8 @@
 }
 
 // evaluate matches a single route; a match results in VerdictShadowed.
-func evaluate(route *Route, method, host, path string, header http.Header) Consideration {
-	result := Consideration{Route: route, Verdict: VerdictShadowed}
+func evaluate(route *Route, method, host, path string, header http.Header) RouteVerdict {
+	result := RouteVerdict{Route: route, Verdict: VerdictShadowed}
 	switch {
 	case !matchesHost(route.Match.Host, host):
 		result.Verdict = VerdictHost
