--- a/internal/dataplane/balance/balance.go
+++ b/internal/dataplane/balance/balance.go
@@ -246,8 +246,8 @@
 // stateOf returns the state of an instance, updated with its current entry.
 func (b *Balancer) stateOf(instance *snapshot.Instance, now time.Time) *instanceState {
 	known := b.instances[instance.Name]
-	if known == nil || known.born < instance.StartedMillis {
-		known = &instanceState{slowdown: 1, lastPickedAt: now, born: instance.StartedMillis}
+	if known == nil || known.startedMillis < instance.StartedMillis {
+		known = &instanceState{slowdown: 1, lastPickedAt: now, startedMillis: instance.StartedMillis}
 		b.instances[instance.Name] = known
 	}
 	known.cold.Follow(*instance, now)
--- a/internal/dataplane/balance/instance_state.go
+++ b/internal/dataplane/balance/instance_state.go
@@ -32,10 +32,10 @@
 
 // instanceState is what the balancer knows about one instance.
 type instanceState struct {
-	// born is the start time of the process that this state describes. A process that
+	// startedMillis is the start time of the process that this state describes. A process that
 	// restarts under the same name gets a new state.
-	born        int64
-	outstanding int
+	startedMillis int64
+	outstanding   int
 	// reportedLoad is the load of the last report; outstandingAtReport is the number of
 	// requests that this node had in progress then.
 	reportedLoad, outstandingAtReport int
