--- a/internal/distribution/platform.go
+++ b/internal/distribution/platform.go
@@ -12,7 +12,7 @@
 // stalls for SourceGrace.
 func (n *Node) request(ctx context.Context, id RequestID, wait time.Duration, read func(context.Context) Event) {
 	grace := n.options.Timing.SourceGrace
-	requestContext, cancel := source.WithPatience(ctx, wait+grace, grace)
+	requestContext, cancel := source.WithStallTimeout(ctx, wait+grace, grace)
 	n.requests[id] = cancel
 	n.running.Go(func() {
 		defer cancel()
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -17,7 +17,7 @@
 // context ends first. The wait does not count against the caller's read timeout, because the
 // running read has its own.
 func (m *Mirror) acquireReading(ctx context.Context) bool {
-	defer source.Pause(ctx)()
+	defer source.PauseStallTimeout(ctx)()
 	select {
 	case m.reading <- struct{}{}:
 		return true
@@ -119,12 +119,12 @@
 // applyListed applies items to a state that is being listed. The time this takes, mainly to compile
 // a configuration, is spent by this process and does not count towards the read timeout.
 func (m *Mirror) applyListed(ctx context.Context, next *state, items []Item) {
-	defer source.Pause(ctx)()
+	defer source.PauseStallTimeout(ctx)()
 	next.apply(items, m.options, m.faults)
 }
 
 func (m *Mirror) listPage(ctx context.Context, after string) (Page, source.Outcome) {
-	ctx, end := source.WithPatience(ctx, m.options.Timeout, m.options.Timeout)
+	ctx, end := source.WithStallTimeout(ctx, m.options.Timeout, m.options.Timeout)
 	defer end()
 	startedAt := clock.Now()
 	page, outcome := m.options.Store.List(ctx, after)
@@ -138,7 +138,7 @@
 }
 
 func (m *Mirror) watchScope(ctx context.Context, scope Scope, after snapshot.Revision, wait time.Duration, limit int64) (Events, source.Outcome) {
-	ctx, end := source.WithPatience(ctx, wait+m.options.Timeout, m.options.Timeout)
+	ctx, end := source.WithStallTimeout(ctx, wait+m.options.Timeout, m.options.Timeout)
 	defer end()
 	startedAt := clock.Now()
 	events, outcome := m.options.Store.Watch(ctx, scope, after, wait, limit)
--- a/internal/mirror/pages_test.go
+++ b/internal/mirror/pages_test.go
@@ -42,7 +42,7 @@
 	c := qt.New(t)
 	store := pagedStore{&scriptedStore{c: c}}
 	store.put("a", "b")
-	ctx, end := source.WithPatience(context.Background(), readTimeout, readTimeout)
+	ctx, end := source.WithStallTimeout(context.Background(), readTimeout, readTimeout)
 	defer end()
 	m, err := mirror.New(mirror.Options{
 		Store: store, Logger: logging.Discard(), Timeout: time.Minute,
--- a/internal/source/exchange.go
+++ b/internal/source/exchange.go
@@ -55,7 +55,7 @@
 
 // exchange sends the request and reads the answer. It ends early if the answer stalls.
 func (c *Client) exchange(parent context.Context, read request) answer {
-	ctx, end := WithPatience(parent, read.wait+c.options.Timeout, c.options.Timeout)
+	ctx, end := WithStallTimeout(parent, read.wait+c.options.Timeout, c.options.Timeout)
 	defer end()
 	outgoing, err := c.newRequest(ctx, read)
 	if err != nil {
@@ -66,7 +66,7 @@
 		return transportFailure(ctx, err)
 	}
 	defer response.Body.Close()
-	Progress(ctx, 0)
+	ReportProgress(ctx, 0)
 	return c.evaluate(ctx, read, response)
 }
 
--- a/internal/source/stall.go
+++ b/internal/source/stall.go
@@ -39,11 +39,11 @@
 	received int
 }
 
-// WithPatience returns a context that ends if nothing of an answer has arrived after
+// WithStallTimeout returns a context that ends if nothing of an answer has arrived after
 // firstTimeout, or later if less than minProgressBytes arrive within stallTimeout. The
 // reader of the answer reports what arrives with Progress. The caller must call the returned
 // function to release the context.
-func WithPatience(parent context.Context, firstTimeout, stallTimeout time.Duration) (context.Context, context.CancelFunc) {
+func WithStallTimeout(parent context.Context, firstTimeout, stallTimeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	t := &stallTimer{cancel: cancel, firstTimeout: firstTimeout, stallTimeout: stallTimeout}
 	t.parent, _ = parent.Value(stallTimerKey{}).(*stallTimer)
@@ -69,10 +69,10 @@
 	t.cancel(errNoAnswer)
 }
 
-// Progress reports to the stall timers of a context, and to the function set by WhileLarge, that
+// ReportProgress reports to the stall timers of a context, and to the function set by WhileLarge, that
 // bytes of the answer have arrived. The header of an answer is reported with zero bytes and
 // counts as progress.
-func Progress(ctx context.Context, bytes int) {
+func ReportProgress(ctx context.Context, bytes int) {
 	if threshold, ok := ctx.Value(byteThresholdKey{}).(*byteThreshold); ok {
 		threshold.addReceived(bytes)
 	}
@@ -93,9 +93,9 @@
 	t.timer.Reset(t.stallTimeout)
 }
 
-// Pause stops the stall timers of a context while the read waits for something within this
+// PauseStallTimeout stops the stall timers of a context while the read waits for something within this
 // process. The returned function restarts them with the full firstTimeout.
-func Pause(ctx context.Context) (resume func()) {
+func PauseStallTimeout(ctx context.Context) (resume func()) {
 	innermost, _ := ctx.Value(stallTimerKey{}).(*stallTimer)
 	for t := innermost; t != nil; t = t.parent {
 		t.timer.Stop()
@@ -122,7 +122,7 @@
 func (r *progressReader) Read(buffer []byte) (int, error) {
 	count, err := r.body.Read(buffer)
 	if count > 0 {
-		Progress(r.ctx, count)
+		ReportProgress(r.ctx, count)
 	}
 	return count, err
 }
--- a/internal/source/stall_test.go
+++ b/internal/source/stall_test.go
@@ -36,19 +36,19 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				began := time.Now()
-				outer, endOuter := source.WithPatience(context.Background(), time.Hour, time.Hour)
+				outer, endOuter := source.WithStallTimeout(context.Background(), time.Hour, time.Hour)
 				defer endOuter()
-				ctx, end := source.WithPatience(outer, first, stall)
+				ctx, end := source.WithStallTimeout(outer, first, stall)
 				defer end()
 				go func() {
 					if row.header == 0 {
 						return
 					}
 					time.Sleep(row.header)
-					source.Progress(ctx, 0)
+					source.ReportProgress(ctx, 0)
 					for range row.steps {
 						time.Sleep(step)
-						source.Progress(ctx, row.bytes)
+						source.ReportProgress(ctx, row.bytes)
 					}
 				}()
 				<-ctx.Done()
@@ -66,9 +66,9 @@
 func TestPauseStopsTheTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		ctx, end := source.WithPatience(context.Background(), time.Second, time.Second)
+		ctx, end := source.WithStallTimeout(context.Background(), time.Second, time.Second)
 		defer end()
-		resume := source.Pause(ctx)
+		resume := source.PauseStallTimeout(ctx)
 		time.Sleep(time.Minute)
 		c.Assert(ctx.Err(), qt.IsNil)
 		resumed := time.Now()
--- a/internal/source/threshold_test.go
+++ b/internal/source/threshold_test.go
@@ -29,10 +29,10 @@
 		t.Run(name, func(t *testing.T) {
 			calls := 0
 			ctx := source.WhileLarge(context.Background(), large, func() { calls++ })
-			timed, end := source.WithPatience(ctx, time.Minute, time.Minute)
+			timed, end := source.WithStallTimeout(ctx, time.Minute, time.Minute)
 			defer end()
 			for _, bytes := range row.reads {
-				source.Progress(timed, bytes)
+				source.ReportProgress(timed, bytes)
 			}
 			qt.Check(t, calls, qt.Equals, row.calls)
 		})
