--- a/internal/mirror/concurrent_watch.go
+++ b/internal/mirror/concurrent_watch.go
@@ -67,7 +67,7 @@
 	}
 	after := m.revision()
 	minInterval := cmp.Or(source.GatherTime(ctx), concurrentWatchInterval)
-	return source.WhileLarge(ctx, largeResponseBytes, func() { m.concurrent.extend(after, minInterval) })
+	return source.WithByteThreshold(ctx, largeResponseBytes, func() { m.concurrent.extend(after, minInterval) })
 }
 
 // extend prolongs the watches, and starts those that are not running after the given revision.
--- a/internal/source/stall.go
+++ b/internal/source/stall.go
@@ -69,7 +69,7 @@
 	t.cancel(errNoAnswer)
 }
 
-// ReportProgress reports to the stall timers of a context, and to the function set by WhileLarge, that
+// ReportProgress reports to the stall timers of a context, and to the function set by WithByteThreshold, that
 // bytes of the answer have arrived. The header of an answer is reported with zero bytes and
 // counts as progress.
 func ReportProgress(ctx context.Context, bytes int) {
--- a/internal/source/threshold.go
+++ b/internal/source/threshold.go
@@ -15,10 +15,10 @@
 	reached         func()
 }
 
-// WhileLarge returns a context whose reads call reached each time that they have together
+// WithByteThreshold returns a context whose reads call reached each time that they have together
 // received the given number of further bytes. The call is made while the rest of an answer is
 // still being received, so reached must not block.
-func WhileLarge(parent context.Context, bytes int, reached func()) context.Context {
+func WithByteThreshold(parent context.Context, bytes int, reached func()) context.Context {
 	return context.WithValue(parent, byteThresholdKey{}, &byteThreshold{step: bytes, remaining: bytes, reached: reached})
 }
 
--- a/internal/source/threshold_test.go
+++ b/internal/source/threshold_test.go
@@ -10,9 +10,9 @@
 	"github.com/winchhead/winchhead/internal/source"
 )
 
-// TestWhileLarge checks that the callback runs each time that the reads have together received
+// TestWithByteThreshold checks that the callback runs each time that the reads have together received
 // the given number of bytes, and not for small reads.
-func TestWhileLarge(t *testing.T) {
+func TestWithByteThreshold(t *testing.T) {
 	const large = 100
 	for name, row := range map[string]struct {
 		reads []int
@@ -28,7 +28,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := 0
-			ctx := source.WhileLarge(context.Background(), large, func() { calls++ })
+			ctx := source.WithByteThreshold(context.Background(), large, func() { calls++ })
 			timed, end := source.WithStallTimeout(ctx, time.Minute, time.Minute)
 			defer end()
 			for _, bytes := range row.reads {
