--- a/internal/distribution/actions.go
+++ b/internal/distribution/actions.go
@@ -36,8 +36,8 @@
 	Request RequestID
 	After   snapshot.Revision
 	Wait    time.Duration
-	// Gather is the minimum time between two reads that return a new revision.
-	Gather time.Duration
+	// MinInterval is the minimum time between two reads that return a new revision.
+	MinInterval time.Duration
 }
 
 // FetchSource fetches the whole document from the source.
--- a/internal/distribution/platform.go
+++ b/internal/distribution/platform.go
@@ -38,7 +38,7 @@
 
 func (n *Node) awaitSource(ctx context.Context, action AwaitSource) {
 	n.request(ctx, action.Request, action.Wait, func(ctx context.Context) Event {
-		ctx = source.WithGatherTime(ctx, action.Gather)
+		ctx = source.WithReadInterval(ctx, action.MinInterval)
 		version, outcome := n.options.Configuration.AwaitRevision(ctx, action.After, action.Wait)
 		n.counters.countSource(outcome)
 		return SourceRevision{Request: action.Request, Version: version, Outcome: outcome}
--- a/internal/distribution/polling.go
+++ b/internal/distribution/polling.go
@@ -16,7 +16,7 @@
 	r.pollAt = time.Time{}
 	r.defersToLeader = false
 	after := max(e.push.heldVersion().Revision, r.head.Revision)
-	e.act(AwaitSource{Request: r.poll, After: after, Wait: e.pollWait(), Gather: e.changePollInterval()})
+	e.act(AwaitSource{Request: r.poll, After: after, Wait: e.pollWait(), MinInterval: e.changePollInterval()})
 }
 
 // pollWait returns how long the source may hold the next poll (long polling). After a poll
--- a/internal/mirror/concurrent_watch.go
+++ b/internal/mirror/concurrent_watch.go
@@ -66,7 +66,7 @@
 		return ctx
 	}
 	after := m.revision()
-	minInterval := cmp.Or(source.GatherTime(ctx), concurrentWatchInterval)
+	minInterval := cmp.Or(source.ReadInterval(ctx), concurrentWatchInterval)
 	return source.WithByteThreshold(ctx, largeResponseBytes, func() { m.concurrent.extend(after, minInterval) })
 }
 
