--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -85,11 +85,11 @@
 }
 
 // heartbeatAt returns when the next heartbeat is due. Any message replaces a heartbeat, except
-// while this node reads the source: peers on standing links then need its SourceAge regularly.
+// while this node reads the source: peers on coordination links then need its SourceAge regularly.
 func (l *link) heartbeatAt(e *Engine) time.Time {
 	const early = 0.9 // leaves time for the network delay
 	since := l.lastSent
-	if e.reading.active && e.isStandingLink(l) {
+	if e.reading.active && e.isCoordinationLink(l) {
 		since = l.sourceAgeSentAt
 	}
 	return since.Add(time.Duration(early * float64(l.ownInterval)))
@@ -136,20 +136,20 @@
 	}
 	l.ownInterval = e.intervalFor(l)
 	e.send(&wire.Hello{
-		Protocol:    wire.ProtocolVersion,
-		Self:        e.table.Self(),
-		Held:        wire.Short(e.push.heldVersion()),
-		FleetDigest: e.fleetDigest(),
-		Purpose:     purpose,
-		Interval:    l.ownInterval.Milliseconds(),
-		Group:       e.isStandingLink(l),
+		Protocol:         wire.ProtocolVersion,
+		Self:             e.table.Self(),
+		Held:             wire.Short(e.push.heldVersion()),
+		FleetDigest:      e.fleetDigest(),
+		Purpose:          purpose,
+		Interval:         l.ownInterval.Milliseconds(),
+		CoordinationLink: e.isCoordinationLink(l),
 	}, l.id)
 }
 
 // intervalFor returns the heartbeat interval of this node on a link.
 func (e *Engine) intervalFor(l *link) time.Duration {
-	if e.isStandingLink(l) {
-		return e.timing.GroupHeartbeatInterval
+	if e.isCoordinationLink(l) {
+		return e.timing.CoordinationHeartbeatInterval
 	}
 	return e.timing.HeartbeatInterval
 }
@@ -160,9 +160,9 @@
 	return !l.probe && current.inGroup(e.options.Self.Node) && current.inGroup(l.node)
 }
 
-// isStandingLink reports whether both ends must learn promptly of changes of the other's reading
+// isCoordinationLink reports whether both ends must learn promptly of changes of the other's reading
 // state: as members of one reader group, or as candidates for the leading reader.
-func (e *Engine) isStandingLink(l *link) bool {
+func (e *Engine) isCoordinationLink(l *link) bool {
 	return e.isGroupLink(l) || !l.probe && e.currentRanking().areCandidates(e.options.Self.Node, l.node)
 }
 
@@ -209,7 +209,7 @@
 		return wire.GoodbyeDuplicate, true
 	case e.refusesDuplicate(hello.Self):
 		return wire.GoodbyeDuplicate, true
-	case !e.isStandingLink(l) && e.overlay.countEstablished() >= e.maxLinksFor(hello):
+	case !e.isCoordinationLink(l) && e.overlay.countEstablished() >= e.maxLinksFor(hello):
 		return wire.GoodbyeFull, true
 	default:
 		return 0, false
@@ -217,9 +217,9 @@
 }
 
 // maxLinksFor returns the link limit for a peer. It is higher for peers that consider the link a
-// standing link while this node does not know that yet.
+// coordination link while this node does not know that yet.
 func (e *Engine) maxLinksFor(hello *wire.Hello) int {
-	if hello.Group {
+	if hello.CoordinationLink {
 		return e.options.MaxLinks + groupSize
 	}
 	return e.options.MaxLinks
@@ -274,7 +274,7 @@
 	if hello.FleetDigest != e.fleetDigest() && l.outgoing {
 		e.pullRecords(l)
 	}
-	if e.isStandingLink(l) {
+	if e.isCoordinationLink(l) {
 		e.sendHeartbeat(l) // reports whether this node reads the source
 	}
 	e.sendRefusal(l)
--- a/internal/distribution/peers.go
+++ b/internal/distribution/peers.go
@@ -89,7 +89,7 @@
 
 // onGoodbye handles a peer that closes the link with Goodbye.
 func (e *Engine) onGoodbye(l *link, reason wire.GoodbyeReason) {
-	wasStanding := e.isStandingLink(l)
+	wasCoordinationLink := e.isCoordinationLink(l)
 	e.dropLink(l)
 	p := e.overlay.peer(l.node)
 	switch reason {
@@ -97,7 +97,7 @@
 		e.noteOtherProtocol(l.node)
 	case wire.GoodbyeFull:
 		p.fullUntil = e.now.Add(e.jittered(e.timing.RefusedWait))
-		if wasStanding { // while a fleet starts, many nodes assume that they are readers
+		if wasCoordinationLink { // while a fleet starts, many nodes assume that they are readers
 			p.retryAt = e.now.Add(e.jittered(e.timing.RedialMax))
 		}
 	default:
--- a/internal/distribution/reading.go
+++ b/internal/distribution/reading.go
@@ -238,7 +238,7 @@
 // node reads the source.
 func (e *Engine) announceReading() {
 	for _, l := range e.overlay.order {
-		if l.lasting() && e.isStandingLink(l) {
+		if l.lasting() && e.isCoordinationLink(l) {
 			e.sendHeartbeat(l)
 		}
 	}
--- a/internal/distribution/selection.go
+++ b/internal/distribution/selection.go
@@ -61,12 +61,12 @@
 // mayDial reports whether a member is a candidate for a new ordinary link.
 func (e *Engine) mayDial(member *membership.Member) bool {
 	p := e.overlay.peers[member.Record.Node]
-	return e.mayDialStandingLink(member) && (p == nil || !e.now.Before(p.fullUntil))
+	return e.mayDialCoordinationLink(member) && (p == nil || !e.now.Before(p.fullUntil))
 }
 
-// mayDialStandingLink reports whether a member is a candidate for a new standing link. Peers
+// mayDialCoordinationLink reports whether a member is a candidate for a new coordination link. Peers
 // accept those beyond their limit of ordinary links.
-func (e *Engine) mayDialStandingLink(member *membership.Member) bool {
+func (e *Engine) mayDialCoordinationLink(member *membership.Member) bool {
 	record := &member.Record
 	if record.Node == e.options.Self.Node || member.Leaving || member.Suspected || record.PeerAddress == "" {
 		return false
@@ -113,11 +113,11 @@
 	e.dialNodes(before)
 }
 
-// dialNodes opens the missing standing links to some nodes.
+// dialNodes opens the missing coordination links to some nodes.
 func (e *Engine) dialNodes(nodes []membership.NodeID) {
 	for _, node := range nodes {
 		member, known := e.view.Member(node)
-		if known && e.mayDialStandingLink(&member) && e.overlay.linkTo(node) == nil {
+		if known && e.mayDialCoordinationLink(&member) && e.overlay.linkTo(node) == nil {
 			e.dial(&member, false)
 		}
 	}
@@ -194,7 +194,7 @@
 // countOutgoing counts the reliable ordinary links that this node dialled, by distance.
 func (e *Engine) countOutgoing() (counts [distanceCount]int) {
 	for _, l := range e.overlay.order {
-		if l.outgoing && !l.probe && !e.isStandingLink(l) && e.isReliable(l) {
+		if l.outgoing && !l.probe && !e.isCoordinationLink(l) && e.isReliable(l) {
 			counts[e.distanceTo(l.zone, l.region)]++
 		}
 	}
@@ -236,7 +236,7 @@
 			continue
 		}
 		node := member.Record.Node
-		if l := e.overlay.linkTo(node); l != nil && (!e.isReliable(l) || l.outgoing && !e.isStandingLink(l)) {
+		if l := e.overlay.linkTo(node); l != nil && (!e.isReliable(l) || l.outgoing && !e.isCoordinationLink(l)) {
 			continue // unreliable, or counted already
 		}
 		ranked.add(rankedNode{node: node, rank: rank(salt, node)})
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -6,9 +6,9 @@
 type Timing struct {
 	// HeartbeatInterval is the longest time without a frame on an ordinary link.
 	HeartbeatInterval time.Duration
-	// GroupHeartbeatInterval is the same for a standing link: one between nodes of a zone's
+	// CoordinationHeartbeatInterval is the same for a coordination link: one between nodes of a zone's
 	// reader group, or between readers that may lead.
-	GroupHeartbeatInterval time.Duration
+	CoordinationHeartbeatInterval time.Duration
 	// DigestInterval is the mean time between two digests on a link.
 	DigestInterval time.Duration
 	// RecordWindow is how long records are batched before they are sent.
@@ -102,44 +102,44 @@
 // DefaultTiming returns the default intervals.
 func DefaultTiming() Timing {
 	return Timing{
-		HeartbeatInterval:      5 * time.Second,
-		GroupHeartbeatInterval: 900 * time.Millisecond,
-		DigestInterval:         10 * time.Second,
-		RecordWindow:           50 * time.Millisecond,
-		ViewWindow:             50 * time.Millisecond,
-		ViewInterval:           300 * time.Millisecond,
-		AnnounceDelay:          30 * time.Millisecond,
-		PullTimeout:            400 * time.Millisecond,
-		DialTimeout:            6 * time.Second,
-		AnswerTime:             time.Second,
-		StartPeerWait:          2 * time.Second,
-		StartListWait:          20 * time.Second,
-		ColdWait:               time.Second,
-		RecheckWait:            2 * time.Second,
-		SourceWait:             2 * time.Second,
-		SourceGrace:            500 * time.Millisecond,
-		StandInDelay:           700 * time.Millisecond,
-		FetchTimeout:           10 * time.Second,
-		FreshnessLimit:         5 * time.Second,
-		FetchDelay:             150 * time.Millisecond,
-		FetchStagger:           40 * time.Millisecond,
-		FetchDelayMax:          1500 * time.Millisecond,
-		FollowerPollInterval:   minPollInterval,
-		LeaderPollInterval:     minPollInterval,
-		MembersWait:            20 * time.Second,
-		BackoffMin:             200 * time.Millisecond,
-		BackoffMax:             10 * time.Second,
-		RetryAfterMax:          time.Minute,
-		RedialMin:              200 * time.Millisecond,
-		RedialMax:              5 * time.Second,
-		RefusedWait:            30 * time.Second,
-		FaultWait:              30 * time.Second,
-		SuspectedRetry:         3 * time.Second,
-		LateThreshold:          300 * time.Millisecond,
-		LateMemory:             5 * time.Second,
-		PauseThreshold:         3 * time.Second,
-		ExpireInterval:         5 * time.Second,
-		UnneededLinkAge:        10 * time.Second,
+		HeartbeatInterval:             5 * time.Second,
+		CoordinationHeartbeatInterval: 900 * time.Millisecond,
+		DigestInterval:                10 * time.Second,
+		RecordWindow:                  50 * time.Millisecond,
+		ViewWindow:                    50 * time.Millisecond,
+		ViewInterval:                  300 * time.Millisecond,
+		AnnounceDelay:                 30 * time.Millisecond,
+		PullTimeout:                   400 * time.Millisecond,
+		DialTimeout:                   6 * time.Second,
+		AnswerTime:                    time.Second,
+		StartPeerWait:                 2 * time.Second,
+		StartListWait:                 20 * time.Second,
+		ColdWait:                      time.Second,
+		RecheckWait:                   2 * time.Second,
+		SourceWait:                    2 * time.Second,
+		SourceGrace:                   500 * time.Millisecond,
+		StandInDelay:                  700 * time.Millisecond,
+		FetchTimeout:                  10 * time.Second,
+		FreshnessLimit:                5 * time.Second,
+		FetchDelay:                    150 * time.Millisecond,
+		FetchStagger:                  40 * time.Millisecond,
+		FetchDelayMax:                 1500 * time.Millisecond,
+		FollowerPollInterval:          minPollInterval,
+		LeaderPollInterval:            minPollInterval,
+		MembersWait:                   20 * time.Second,
+		BackoffMin:                    200 * time.Millisecond,
+		BackoffMax:                    10 * time.Second,
+		RetryAfterMax:                 time.Minute,
+		RedialMin:                     200 * time.Millisecond,
+		RedialMax:                     5 * time.Second,
+		RefusedWait:                   30 * time.Second,
+		FaultWait:                     30 * time.Second,
+		SuspectedRetry:                3 * time.Second,
+		LateThreshold:                 300 * time.Millisecond,
+		LateMemory:                    5 * time.Second,
+		PauseThreshold:                3 * time.Second,
+		ExpireInterval:                5 * time.Second,
+		UnneededLinkAge:               10 * time.Second,
 	}
 }
 
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -121,7 +121,7 @@
 	e.fixed64(m.FleetDigest)
 	e.octet(uint8(m.Purpose))
 	e.long(m.Interval)
-	e.boolean(m.Group)
+	e.boolean(m.CoordinationLink)
 }
 
 func (e encoder) update(m *Update) {
@@ -214,13 +214,13 @@
 
 func (d decoder) hello() *Hello {
 	return &Hello{
-		Protocol:    int(d.long()),
-		Self:        d.record(),
-		Held:        d.shortVersion(),
-		FleetDigest: d.fixed64(),
-		Purpose:     Purpose(d.octet()),
-		Interval:    d.long(),
-		Group:       d.boolean(),
+		Protocol:         int(d.long()),
+		Self:             d.record(),
+		Held:             d.shortVersion(),
+		FleetDigest:      d.fixed64(),
+		Purpose:          Purpose(d.octet()),
+		Interval:         d.long(),
+		CoordinationLink: d.boolean(),
 	}
 }
 
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -59,9 +59,9 @@
 	Purpose Purpose
 	// Interval has the meaning of Heartbeat.Interval.
 	Interval int64
-	// Group asks for a link between nodes that may read the source. Such links are
+	// CoordinationLink asks for a link between nodes that may read the source. Such links are
 	// accepted even above the limit of ordinary links.
-	Group bool
+	CoordinationLink bool
 }
 
 // Purpose is why a connection was opened.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -69,7 +69,7 @@
 			return &wire.Hello{Protocol: int(positive.Draw(t, "p")), Self: record.Draw(t, "self"),
 				Held: short.Draw(t, "held"), FleetDigest: rapid.Uint64().Draw(t, "digest"),
 				Purpose: wire.Purpose(octet.Draw(t, "purpose")), Interval: anyNumber.Draw(t, "interval"),
-				Group: rapid.Bool().Draw(t, "group")}
+				CoordinationLink: rapid.Bool().Draw(t, "group")}
 		case wire.TypeHeartbeat:
 			return &wire.Heartbeat{Interval: anyNumber.Draw(t, "interval"),
 				Reading: wire.Reading(octet.Draw(t, "reading")), SourceAge: anyNumber.Draw(t, "age")}
