--- a/internal/proxy/claim/memory.go
+++ b/internal/proxy/claim/memory.go
@@ -123,12 +123,12 @@
 	}
 	node, incarnation := m.options.Self()
 	request := wire.ClaimRequest{
-		Action:      wire.ClaimActionClaim,
-		Key:         keyOf(key),
-		Fingerprint: wire.ClaimFingerprint(fingerprint),
-		Holder:      wire.ClaimHolder{Node: node, Incarnation: incarnation, Number: m.lastNumber.Add(1)},
-		RunsFor:     remaining.Milliseconds(),
-		Hold:        (remaining + m.options.Lifetime).Milliseconds(),
+		Action:          wire.ClaimActionClaim,
+		Key:             keyOf(key),
+		Fingerprint:     wire.ClaimFingerprint(fingerprint),
+		Holder:          wire.ClaimHolder{Node: node, Incarnation: incarnation, Number: m.lastNumber.Add(1)},
+		RemainingMillis: remaining.Milliseconds(),
+		GrantMillis:     (remaining + m.options.Lifetime).Milliseconds(),
 	}
 	set := replicasOf(request.Key, m.options.View(), m.options.Replicas)
 	return &attempt{
--- a/internal/proxy/claim/memory_test.go
+++ b/internal/proxy/claim/memory_test.go
@@ -227,7 +227,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
 		request := wire.ClaimRequest{Action: wire.ClaimActionClaim, Key: keyOf(testKey), Fingerprint: wire.ClaimFingerprint(booking),
-			Holder: wire.ClaimHolder{Node: "1", Incarnation: 1, Number: 7}, Hold: time.Hour.Milliseconds()}
+			Holder: wire.ClaimHolder{Node: "1", Incarnation: 1, Number: 7}, GrantMillis: time.Hour.Milliseconds()}
 		for _, replica := range []string{"1", "2"} {
 			f.replicas[replica].handle(&request)
 		}
--- a/internal/proxy/claim/table.go
+++ b/internal/proxy/claim/table.go
@@ -85,8 +85,8 @@
 		key:         request.Key,
 		fingerprint: request.Fingerprint,
 		holder:      request.Holder,
-		runsUntil:   now.Add(clampDuration(request.RunsFor)),
-		expiresAt:   now.Add(clampDuration(request.Hold)),
+		runsUntil:   now.Add(clampDuration(request.RemainingMillis)),
+		expiresAt:   now.Add(clampDuration(request.GrantMillis)),
 	}
 	if !t.add(created) {
 		return wire.ClaimFull
--- a/internal/proxy/claim/table_test.go
+++ b/internal/proxy/claim/table_test.go
@@ -17,7 +17,7 @@
 func newRequest(action wire.ClaimAction, key, holder byte) *wire.ClaimRequest {
 	return &wire.ClaimRequest{
 		Action: action, Key: wire.ClaimKey{key}, Holder: wire.ClaimHolder{Node: "n", Number: uint64(holder)},
-		RunsFor: time.Second.Milliseconds(), Hold: time.Minute.Milliseconds(),
+		RemainingMillis: time.Second.Milliseconds(), GrantMillis: time.Minute.Milliseconds(),
 	}
 }
 
--- a/internal/wire/claim.go
+++ b/internal/wire/claim.go
@@ -40,10 +40,10 @@
 	Key         ClaimKey
 	Fingerprint ClaimFingerprint
 	Holder      ClaimHolder
-	// RunsFor is the remaining time of the request, in milliseconds.
-	RunsFor int64
-	// Hold is how long the grant lasts, in milliseconds; it is longer than RunsFor.
-	Hold int64
+	// RemainingMillis is the remaining time of the request, in milliseconds.
+	RemainingMillis int64
+	// GrantMillis is how long the grant lasts, in milliseconds; it is longer than RemainingMillis.
+	GrantMillis int64
 }
 
 // ClaimVerdict is the result in a replica's reply.
@@ -87,8 +87,8 @@
 	e.fixed(m.Key[:])
 	e.fixed(m.Fingerprint[:])
 	e.claimHolder(m.Holder)
-	e.long(m.RunsFor)
-	e.long(m.Hold)
+	e.long(m.RemainingMillis)
+	e.long(m.GrantMillis)
 }
 
 func (d decoder) claimHolder() ClaimHolder {
@@ -104,7 +104,7 @@
 	d.Read(m.Key[:])
 	d.Read(m.Fingerprint[:])
 	m.Holder = d.claimHolder()
-	m.RunsFor = d.long()
-	m.Hold = d.long()
+	m.RemainingMillis = d.long()
+	m.GrantMillis = d.long()
 	return m
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -116,7 +116,7 @@
 			hash := rapid.SliceOfN(rapid.Byte(), 32, 32)
 			return &wire.ClaimRequest{Number: number.Draw(t, "number"), Action: wire.ClaimAction(octet.Draw(t, "action")),
 				Key: [32]byte(hash.Draw(t, "key")), Fingerprint: [32]byte(hash.Draw(t, "fingerprint")),
-				Holder: holder.Draw(t, "holder"), RunsFor: anyNumber.Draw(t, "runs"), Hold: anyNumber.Draw(t, "hold")}
+				Holder: holder.Draw(t, "holder"), RemainingMillis: anyNumber.Draw(t, "runs"), GrantMillis: anyNumber.Draw(t, "hold")}
 		case wire.TypeClaimReply:
 			return &wire.ClaimReply{Number: number.Draw(t, "number"), Verdict: wire.ClaimVerdict(octet.Draw(t, "verdict")),
 				Holder: holder.Draw(t, "holder"), Running: rapid.Bool().Draw(t, "running")}
@@ -274,7 +274,7 @@
 		&wire.Records{Records: []membership.Record{{Node: "a"}}, Observations: []membership.Observation{{Subject: "b"}},
 			Listed: []wire.ListedEntry{{Order: 5}}},
 		&wire.RecordPull{Buckets: []uint64{1, 2}}, &wire.StatusRequest{}, &wire.StatusReply{Node: "a"}, &wire.Goodbye{},
-		&wire.ClaimRequest{Holder: wire.ClaimHolder{Node: "a", Number: 2}, Hold: 1000}, &wire.ClaimReply{Holder: wire.ClaimHolder{Node: "b"}},
+		&wire.ClaimRequest{Holder: wire.ClaimHolder{Node: "a", Number: 2}, GrantMillis: 1000}, &wire.ClaimReply{Holder: wire.ClaimHolder{Node: "b"}},
 		&wire.Crashes{Crashes: []wire.Crash{{ID: 1, Instance: "i", Age: 5, Requests: []suspects.Request{{Probed: true}}}}},
 		&wire.FleetChanges{Changes: []wire.FleetChange{{Revision: 7, Resource: snapshot.Resource{Key: snapshot.Key{Kind: 5, Name: "i"}}, Age: 3}}},
 	}
