--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -252,8 +252,8 @@
 	l.lastSent = e.now
 	l.digestAt = e.now.Add(e.jittered(e.timing.DigestInterval))
 	l.held = hello.Held
-	l.takesChanges = hello.Purpose.TakesChanges()
-	l.takesOrigins = hello.Purpose.TakesOrigins()
+	l.takesChanges = hello.Purpose.AcceptsChanges()
+	l.takesOrigins = hello.Purpose.AcceptsOrigins()
 	e.setPeerInterval(l, hello.Interval)
 	e.start.setProbeResult(l.node, probeAnswered)
 	suspected := e.isSuspected(l.node)
--- a/internal/distribution/node_links.go
+++ b/internal/distribution/node_links.go
@@ -54,7 +54,7 @@
 		n.serveClaims(ctx, c)
 		return
 	}
-	c.acceptsParts.Store(hello.Purpose.TakesChanges())
+	c.acceptsParts.Store(hello.Purpose.AcceptsChanges())
 	c.id = LinkID(firstIncomingLink + 2*n.incoming.Add(1))
 	n.runLink(ctx, c, Accepted{Link: c.id, Hello: hello})
 }
@@ -102,7 +102,7 @@
 			return
 		}
 		if hello, answered := message.(*wire.Hello); answered {
-			c.acceptsParts.Store(hello.Purpose.TakesChanges())
+			c.acceptsParts.Store(hello.Purpose.AcceptsChanges())
 		}
 		n.post(ctx, Message{Link: c.id, Message: message})
 	}
--- a/internal/distribution/protocol_test.go
+++ b/internal/distribution/protocol_test.go
@@ -150,7 +150,7 @@
 			continue
 		case ok && send.Type == wire.TypeHello:
 			send.Frame = changed(send.Frame, func(hello *wire.Hello) {
-				if hello.Purpose.TakesChanges() {
+				if hello.Purpose.AcceptsChanges() {
 					hello.Purpose = wire.PurposeLink
 				}
 			})
--- a/internal/distribution/restore_test.go
+++ b/internal/distribution/restore_test.go
@@ -43,7 +43,7 @@
 	for i, action := range actions {
 		if send, ok := action.(distribution.Send); ok && send.Type == wire.TypeHello {
 			send.Frame = changed(send.Frame, func(hello *wire.Hello) {
-				if hello.Purpose.TakesOrigins() {
+				if hello.Purpose.AcceptsOrigins() {
 					hello.Purpose = wire.PurposeLinkWithChanges
 				}
 			})
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -81,11 +81,11 @@
 	PurposeLinkWithOrigins Purpose = 6
 )
 
-// TakesChanges reports whether the sender of a Hello accepts FleetChanges and frames in parts.
-func (p Purpose) TakesChanges() bool { return p == PurposeLinkWithChanges || p.TakesOrigins() }
+// AcceptsChanges reports whether the sender of a Hello accepts FleetChanges and frames in parts.
+func (p Purpose) AcceptsChanges() bool { return p == PurposeLinkWithChanges || p.AcceptsOrigins() }
 
-// TakesOrigins reports whether the sender of a Hello accepts the origins of configurations.
-func (p Purpose) TakesOrigins() bool { return p == PurposeLinkWithOrigins }
+// AcceptsOrigins reports whether the sender of a Hello accepts the origins of configurations.
+func (p Purpose) AcceptsOrigins() bool { return p == PurposeLinkWithOrigins }
 
 // Reading is whether a node reads the source.
 type Reading uint8
