--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -69,8 +69,8 @@
 	Status    distribution.StatusSource
 	// Restores may be nil if the source is never restored.
 	Restores Restores
-	// Suspects holds the requests that may crash instances; nil means an empty ledger.
-	Suspects *suspects.Ledger
+	// Suspects holds the requests that may crash instances; nil means an empty tracker.
+	Suspects *suspects.Tracker
 	Gatherer prometheus.Gatherer
 	Logger   logrus.FieldLogger
 }
@@ -84,7 +84,7 @@
 // New returns the admin API of one node.
 func New(options Options) *Server {
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	server := &Server{options: options, router: chi.NewRouter()}
 	server.router.Group(func(router chi.Router) {
--- a/internal/admin/suspects_test.go
+++ b/internal/admin/suspects_test.go
@@ -16,7 +16,7 @@
 // one of them.
 func TestSuspects(t *testing.T) {
 	c := qt.New(t)
-	ledger := suspects.NewLedger()
+	ledger := suspects.NewTracker()
 	quarantined, bystander := suspects.Of("GET", "h", "/a", nil), suspects.Of("GET", "h", "/b", nil)
 	ledger.Crashed("i-1", []suspects.InProgress{{Fingerprint: quarantined}, {Fingerprint: bystander}})
 	node := newFakeNode(c)
--- a/internal/app/container.go
+++ b/internal/app/container.go
@@ -40,7 +40,7 @@
 	Inbound   *inbound.Proxy
 	Claims    *claim.Memory
 	Dataplane *dataplane.Node
-	Suspects  *suspects.Ledger
+	Suspects  *suspects.Tracker
 	Admin     *admin.Server
 }
 
@@ -59,7 +59,7 @@
 		newSource,
 		newApplier,
 		newClaimReplica,
-		suspects.NewLedger,
+		suspects.NewTracker,
 		newDistribution,
 		newClaims,
 		newNodeReadiness,
@@ -138,7 +138,7 @@
 	Applier   *configuration.Applier
 	Adopter   *backEndWatcher
 	Replica   *claim.Replica
-	Suspects  *suspects.Ledger
+	Suspects  *suspects.Tracker
 	Changes   *fleetChanges
 }
 
@@ -269,7 +269,7 @@
 	Settings settings.Settings
 	Applier  *configuration.Applier
 	Node     *distribution.Node
-	Suspects *suspects.Ledger
+	Suspects *suspects.Tracker
 	Registry *prometheus.Registry
 	Logger   logrus.FieldLogger
 }
--- a/internal/app/metrics.go
+++ b/internal/app/metrics.go
@@ -12,7 +12,7 @@
 )
 
 // registerMetrics registers the metrics of parts that only keep counters.
-func registerMetrics(registerer prometheus.Registerer, node *distribution.Node, loaded *keys.Keys, ledger *suspects.Ledger) error {
+func registerMetrics(registerer prometheus.Registerer, node *distribution.Node, loaded *keys.Keys, ledger *suspects.Tracker) error {
 	if err := registerer.Register(newDistributionCollector(node)); err != nil {
 		return err
 	}
--- a/internal/app/store.go
+++ b/internal/app/store.go
@@ -147,7 +147,7 @@
 	Settings   settings.Settings
 	Listeners  *listeners
 	Applier    *configuration.Applier
-	Suspects   *suspects.Ledger
+	Suspects   *suspects.Tracker
 	Logger     logrus.FieldLogger
 	Registerer prometheus.Registerer
 }
--- a/internal/app/suspects.go
+++ b/internal/app/suspects.go
@@ -8,7 +8,7 @@
 )
 
 // newCrashHandler returns a function that records and logs crashes reported by other nodes.
-func newCrashHandler(ledger *suspects.Ledger, logger logrus.FieldLogger) func([]suspects.Crash) {
+func newCrashHandler(ledger *suspects.Tracker, logger logrus.FieldLogger) func([]suspects.Crash) {
 	return func(crashes []suspects.Crash) {
 		ledger.Learn(crashes)
 		for _, crash := range crashes {
@@ -35,7 +35,7 @@
 
 // registerSuspects registers gauges of the request contents that are suspected or
 // quarantined.
-func registerSuspects(registerer prometheus.Registerer, ledger *suspects.Ledger) error {
+func registerSuspects(registerer prometheus.Registerer, ledger *suspects.Tracker) error {
 	for name, gauge := range map[string]struct {
 		standing suspects.Standing
 		help     string
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -40,7 +40,7 @@
 	LinkBytesPerSecond float64
 	Budget             budget.Options
 	// Suspects records the requests that may crash instances; nil: a ledger of this node alone.
-	Suspects *suspects.Ledger
+	Suspects *suspects.Tracker
 	// Mechanisms are the mechanisms that are switched on.
 	Mechanisms mechanism.Set
 	// Limits apply unless the configuration sets others.
@@ -65,7 +65,7 @@
 // New returns a Node that accepts no requests until Run.
 func New(options Options) (*Node, error) {
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	created := &Node{options: options, accounts: budget.New(options.Budget)}
 	var err error
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -54,7 +54,7 @@
 	Budget *budget.Accounts
 	// Suspects records the requests that may crash instances; if it is nil, the Proxy keeps a
 	// ledger of its own.
-	Suspects *suspects.Ledger
+	Suspects *suspects.Tracker
 	// Mechanisms are the mechanisms that are enabled.
 	Mechanisms mechanism.Set
 	Logger     logrus.FieldLogger
@@ -99,7 +99,7 @@
 		options.Budget = budget.New(budget.Options{Slack: math.MaxInt32, FirstStart: true})
 	}
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	if options.MaxIdleNonRepeatable == 0 {
 		options.MaxIdleNonRepeatable = defaultMaxIdleNonRepeatable
--- a/internal/dataplane/inbound/probe_test.go
+++ b/internal/dataplane/inbound/probe_test.go
@@ -47,7 +47,7 @@
 			current := empty.WithFleet(snapshot.Version{Revision: 2}, snapshot.Content{Instances: []snapshot.Instance{
 				{Name: "i-1", Service: "s", Address: address, Zone: "z", Slots: 2, State: snapshot.InstanceReady},
 			}})
-			ledger := suspects.NewLedger()
+			ledger := suspects.NewTracker()
 			proxy, err := inbound.New(inbound.Options{
 				Mechanisms: mechanism.All(), Names: message.Names{RequestID: instance.HeaderID, ExpectInstance: instance.HeaderExpect},
 				Snapshots: oneSnapshot{current}, Backend: address, Service: "s", Zone: "z", Slots: 2, Suspects: ledger, Logger: logging.Discard(),
--- a/internal/dataplane/outbound/outbound.go
+++ b/internal/dataplane/outbound/outbound.go
@@ -60,8 +60,8 @@
 	Mechanisms mechanism.Set
 	// Budget limits the repeats of requests that start at this node.
 	Budget *budget.Accounts
-	// Suspects records the requests that may crash instances; nil: a new, empty ledger.
-	Suspects *suspects.Ledger
+	// Suspects records the requests that may crash instances; nil: a new, empty tracker.
+	Suspects *suspects.Tracker
 	Logger   logrus.FieldLogger
 	// Registerer registers the metrics; nil: they are not registered.
 	Registerer prometheus.Registerer
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	stopped, stop := context.WithCancel(context.Background())
 	created := &Proxy{
--- a/internal/distribution/engine.go
+++ b/internal/distribution/engine.go
@@ -57,7 +57,7 @@
 	reading readingState
 	members membersState
 	start   startState
-	crashes *suspects.Book
+	crashes *suspects.CrashRecords
 	changes changeBook
 }
 
@@ -81,7 +81,7 @@
 		outbox:  newOutbox(),
 		overlay: newOverlay(),
 		push:    newPushState(),
-		crashes: suspects.NewBook(),
+		crashes: suspects.NewCrashRecords(),
 		changes: newChangeBook(),
 	}
 }
--- a/internal/suspects/benchmark_test.go
+++ b/internal/suspects/benchmark_test.go
@@ -11,7 +11,7 @@
 	for _, bytes := range []int{0, 64 << 10} {
 		for _, suspected := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d bytes, suspects %v", bytes, suspected), func(b *testing.B) {
-				ledger := NewLedger()
+				ledger := NewTracker()
 				if suspected {
 					ledger.Crashed("i", []InProgress{{Fingerprint: fingerprintOf("other")}})
 				}
--- a/internal/suspects/book.go
+++ b/internal/suspects/book.go
@@ -57,26 +57,26 @@
 	Until time.Time
 }
 
-// Book holds the crash records that a node knows. Two Books with the same records give the
+// CrashRecords holds the crash records that a node knows. Two Books with the same records give the
 // same assessments. It is not safe for concurrent use.
-type Book struct {
+type CrashRecords struct {
 	crashes map[CrashID]*Crash
 	// suspected maps each fingerprint that is not cleared to the crashes at which it was in
 	// progress.
 	suspected map[Fingerprint][]*Crash
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book {
-	return &Book{crashes: make(map[CrashID]*Crash), suspected: make(map[Fingerprint][]*Crash)}
+// NewCrashRecords returns an empty CrashRecords.
+func NewCrashRecords() *CrashRecords {
+	return &CrashRecords{crashes: make(map[CrashID]*Crash), suspected: make(map[Fingerprint][]*Crash)}
 }
 
 // IsEmpty reports whether no fingerprint is suspected or quarantined.
-func (b *Book) IsEmpty() bool { return len(b.suspected) == 0 }
+func (b *CrashRecords) IsEmpty() bool { return len(b.suspected) == 0 }
 
 // Merge adds the given records and returns those that were new or changed a held record, in
 // their merged form.
-func (b *Book) Merge(crashes []Crash, now time.Time) (merged []Crash) {
+func (b *CrashRecords) Merge(crashes []Crash, now time.Time) (merged []Crash) {
 	b.expire(now)
 	var changed []CrashID
 	for _, other := range crashes {
@@ -97,7 +97,7 @@
 	return merged
 }
 
-func (b *Book) mergeRecord(other Crash, now time.Time) (changed bool) {
+func (b *CrashRecords) mergeRecord(other Crash, now time.Time) (changed bool) {
 	if held := b.crashes[other.ID]; held != nil {
 		return held.merge(other)
 	}
@@ -112,7 +112,7 @@
 
 // Answered clears a fingerprint after an instance answered such a request, which shows that
 // the request does not crash instances. It returns the records that changed.
-func (b *Book) Answered(fingerprint Fingerprint) (changed []Crash) {
+func (b *CrashRecords) Answered(fingerprint Fingerprint) (changed []Crash) {
 	for _, crash := range b.suspected[fingerprint] {
 		crash.find(fingerprint).Cleared = true
 		changed = append(changed, crash.clone())
@@ -124,7 +124,7 @@
 }
 
 // Assess returns the standing of a fingerprint.
-func (b *Book) Assess(fingerprint Fingerprint, now time.Time) Assessment {
+func (b *CrashRecords) Assess(fingerprint Fingerprint, now time.Time) Assessment {
 	var found Assessment
 	var last time.Time
 	for _, crash := range b.suspected[fingerprint] {
@@ -156,19 +156,19 @@
 // isExplained reports whether another request that was in progress at the crash has crashed
 // an instance during a probe. The crash is then no evidence against this one, so requests
 // that merely ran beside the cause need no probe of their own.
-func (b *Book) isExplained(crash *Crash, fingerprint Fingerprint) bool {
+func (b *CrashRecords) isExplained(crash *Crash, fingerprint Fingerprint) bool {
 	return slices.ContainsFunc(crash.Requests, func(other Request) bool {
 		return other.Fingerprint != fingerprint && !other.Cleared && b.wasProbed(other.Fingerprint)
 	})
 }
 
 // wasProbed reports whether a probe of a fingerprint that is not cleared ended in a crash.
-func (b *Book) wasProbed(fingerprint Fingerprint) bool {
+func (b *CrashRecords) wasProbed(fingerprint Fingerprint) bool {
 	return slices.ContainsFunc(b.suspected[fingerprint], func(crash *Crash) bool { return crash.find(fingerprint).Probed })
 }
 
 // assessed returns all fingerprints that are not clear, sorted.
-func (b *Book) assessed(now time.Time) (found []Assessed) {
+func (b *CrashRecords) assessed(now time.Time) (found []Assessed) {
 	for fingerprint := range b.suspected {
 		if assessment := b.Assess(fingerprint, now); assessment.Standing != Clear {
 			found = append(found, Assessed{Fingerprint: fingerprint, Assessment: assessment})
@@ -179,7 +179,7 @@
 }
 
 // All returns all records, oldest first.
-func (b *Book) All(now time.Time) []Crash {
+func (b *CrashRecords) All(now time.Time) []Crash {
 	b.expire(now)
 	all := make([]Crash, 0, len(b.crashes))
 	for _, crash := range b.crashes {
@@ -206,7 +206,7 @@
 }
 
 // expire drops the records that have expired.
-func (b *Book) expire(now time.Time) {
+func (b *CrashRecords) expire(now time.Time) {
 	before := len(b.crashes)
 	maps.DeleteFunc(b.crashes, func(_ CrashID, crash *Crash) bool { return !now.Before(expiry(crash)) })
 	if len(b.crashes) < before {
@@ -216,7 +216,7 @@
 
 // limit drops the least useful records: first those in which every request is cleared, then
 // the oldest without a probe, then the oldest.
-func (b *Book) limit() {
+func (b *CrashRecords) limit() {
 	if len(b.crashes) <= maxCrashes {
 		return
 	}
@@ -248,7 +248,7 @@
 }
 
 // index rebuilds suspected. This is rare: records change only a few times per crash.
-func (b *Book) index() {
+func (b *CrashRecords) index() {
 	clear(b.suspected)
 	for _, crash := range b.crashes {
 		for _, request := range crash.Requests {
--- a/internal/suspects/book_test.go
+++ b/internal/suspects/book_test.go
@@ -52,7 +52,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			book := NewBook()
+			book := NewCrashRecords()
 			book.Merge(row.crashes, start)
 			for _, path := range row.answered {
 				book.Answered(fingerprintOf(path))
@@ -70,7 +70,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		paths := []string{"a", "b", "c", "d"}
 		path := rapid.SampledFrom(paths)
-		books := []*Book{NewBook(), NewBook(), NewBook()}
+		books := []*CrashRecords{NewCrashRecords(), NewCrashRecords(), NewCrashRecords()}
 		var changed []Crash
 		for id := range rapid.IntRange(1, 8).Draw(t, "crashes") {
 			inProgress := rapid.SliceOfNDistinct(path, 1, 3, func(p string) string { return p }).Draw(t, "paths")
@@ -105,7 +105,7 @@
 // dropped record does not count as new when it arrives again.
 func TestBookIsBounded(t *testing.T) {
 	c := qt.New(t)
-	book := NewBook()
+	book := NewCrashRecords()
 	book.Merge([]Crash{crashOf(0, 0, "*quarantined"), crashOf(1, 0, "*quarantined")}, start)
 	all := []Crash{}
 	for i := range 2 * maxCrashes {
@@ -143,7 +143,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			var changed []Crash
-			ledger := NewLedger()
+			ledger := NewTracker()
 			ledger.SpreadBy(func(crashes []Crash) { changed = append(changed, crashes...) })
 			c.Check(ledger.IsEmpty(), qt.IsTrue)
 			ledger.Crashed("i", []InProgress{{a, false}, {b, false}})
--- a/internal/suspects/ledger.go
+++ b/internal/suspects/ledger.go
@@ -16,32 +16,32 @@
 	Probe bool
 }
 
-// Ledger holds the Book of one node and sends its changes to other nodes. It is safe for
+// Tracker holds the CrashRecords of one node and sends its changes to other nodes. It is safe for
 // concurrent use. While no request is suspected, a lookup costs one atomic load.
-type Ledger struct {
+type Tracker struct {
 	// publish sends records that changed on this node to other nodes.
 	publish func([]Crash)
 	now     func() time.Time
 
 	hasSuspects atomic.Bool
 	mutex       sync.Mutex
-	book        *Book
+	book        *CrashRecords
 }
 
-// NewLedger returns an empty Ledger that sends its changes nowhere.
-func NewLedger() *Ledger {
-	return &Ledger{publish: func([]Crash) {}, now: clock.Now, book: NewBook()}
+// NewTracker returns an empty Tracker that sends its changes nowhere.
+func NewTracker() *Tracker {
+	return &Tracker{publish: func([]Crash) {}, now: clock.Now, book: NewCrashRecords()}
 }
 
 // SpreadBy sets the function that sends records that change on this node to other nodes. It
-// must be called before the Ledger is used.
-func (l *Ledger) SpreadBy(publish func([]Crash)) { l.publish = publish }
+// must be called before the Tracker is used.
+func (l *Tracker) SpreadBy(publish func([]Crash)) { l.publish = publish }
 
 // IsEmpty reports whether no request is suspected or quarantined.
-func (l *Ledger) IsEmpty() bool { return !l.hasSuspects.Load() }
+func (l *Tracker) IsEmpty() bool { return !l.hasSuspects.Load() }
 
 // Assess returns the standing of requests with the given fingerprint.
-func (l *Ledger) Assess(fingerprint Fingerprint) Assessment {
+func (l *Tracker) Assess(fingerprint Fingerprint) Assessment {
 	if l.IsEmpty() {
 		return Assessment{}
 	}
@@ -52,7 +52,7 @@
 
 // Crashed records the crash of an instance with the requests that were running there, and
 // sends the record to other nodes.
-func (l *Ledger) Crashed(instance string, running []InProgress) {
+func (l *Tracker) Crashed(instance string, running []InProgress) {
 	l.mutex.Lock()
 	now := l.now()
 	crash := Crash{ID: CrashID(rand.Uint64()), Instance: instance, At: now}
@@ -70,7 +70,7 @@
 
 // onlyProbe returns the fingerprint that was being probed, or nil if there was none or another
 // suspected request ran beside it. The caller must hold mutex.
-func (l *Ledger) onlyProbe(running []InProgress, now time.Time) *Fingerprint {
+func (l *Tracker) onlyProbe(running []InProgress, now time.Time) *Fingerprint {
 	var probed *Fingerprint
 	for i := range running {
 		each := &running[i]
@@ -86,7 +86,7 @@
 }
 
 // Answered clears the fingerprint of a request that an instance answered.
-func (l *Ledger) Answered(fingerprint Fingerprint) {
+func (l *Tracker) Answered(fingerprint Fingerprint) {
 	if l.IsEmpty() {
 		return
 	}
@@ -100,7 +100,7 @@
 }
 
 // Learn merges records received from other nodes.
-func (l *Ledger) Learn(crashes []Crash) {
+func (l *Tracker) Learn(crashes []Crash) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.book.Merge(crashes, l.now())
@@ -114,14 +114,14 @@
 }
 
 // Assessed returns all fingerprints that are not clear, sorted.
-func (l *Ledger) Assessed() []Assessed {
+func (l *Tracker) Assessed() []Assessed {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.book.assessed(l.now())
 }
 
 // Count returns how many fingerprints have the given standing.
-func (l *Ledger) Count(standing Standing) (count int) {
+func (l *Tracker) Count(standing Standing) (count int) {
 	for _, each := range l.Assessed() {
 		if each.Standing == standing {
 			count++
