--- a/internal/admin/suspects.go
+++ b/internal/admin/suspects.go
@@ -60,7 +60,7 @@
 		s.write(w, http.StatusNotFound, ErrorResponse{Error: "nothing stands against requests of that fingerprint"})
 		return
 	}
-	s.options.Suspects.Answered(fingerprint)
+	s.options.Suspects.Clear(fingerprint)
 	s.options.Logger.WithField("fingerprint", fingerprint.String()).Warn("an operator cleared a suspected fingerprint")
 	s.suspects(w, r)
 }
--- a/internal/admin/suspects_test.go
+++ b/internal/admin/suspects_test.go
@@ -17,7 +17,7 @@
 func TestSuspects(t *testing.T) {
 	c := qt.New(t)
 	ledger := suspects.NewTracker()
-	quarantined, bystander := suspects.Of("GET", "h", "/a", nil), suspects.Of("GET", "h", "/b", nil)
+	quarantined, bystander := suspects.NewFingerprint("GET", "h", "/a", nil), suspects.NewFingerprint("GET", "h", "/b", nil)
 	ledger.Crashed("i-1", []suspects.InProgress{{Fingerprint: quarantined}, {Fingerprint: bystander}})
 	node := newFakeNode(c)
 	server := httptest.NewServer(admin.New(admin.Options{Snapshots: node, Fleet: node, Status: node, Suspects: ledger,
@@ -41,7 +41,7 @@
 
 	_, err = client.ClearSuspect(t.Context(), "no fingerprint")
 	c.Check(err, qt.ErrorMatches, ".*400.*is no fingerprint.*")
-	_, err = client.ClearSuspect(t.Context(), suspects.Of("GET", "h", "/c", nil).String())
+	_, err = client.ClearSuspect(t.Context(), suspects.NewFingerprint("GET", "h", "/c", nil).String())
 	c.Check(err, qt.ErrorMatches, ".*404: nothing stands against.*")
 	_, err = client.ClearSuspect(t.Context(), quarantined.String())
 	c.Assert(err, qt.IsNil)
--- a/internal/app/container.go
+++ b/internal/app/container.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return nil, err
 	}
-	inputs.Suspects.SpreadBy(node.TellCrashes)
+	inputs.Suspects.PublishWith(node.TellCrashes)
 	if store, ok := inputs.Source.(storeReader); ok {
 		store.TellChanges(node.TellFleetChanges)
 	}
--- a/internal/app/suspects.go
+++ b/internal/app/suspects.go
@@ -10,7 +10,7 @@
 // newCrashHandler returns a function that records and logs crashes reported by other nodes.
 func newCrashHandler(ledger *suspects.Tracker, logger logrus.FieldLogger) func([]suspects.Crash) {
 	return func(crashes []suspects.Crash) {
-		ledger.Learn(crashes)
+		ledger.MergeRemote(crashes)
 		for _, crash := range crashes {
 			logger.WithFields(describeCrash(crash)).Info("another node reported the crash of an instance")
 		}
--- a/internal/dataplane/inbound/crash.go
+++ b/internal/dataplane/inbound/crash.go
@@ -121,7 +121,7 @@
 }
 
 func fingerprintOf(request *message.Request) suspects.Fingerprint {
-	return suspects.Of(request.Method, request.Host, request.Target, request.Body)
+	return suspects.NewFingerprint(request.Method, request.Host, request.Target, request.Body)
 }
 
 // maxLoggedRuns limits the number of requests in the log message about a crash.
--- a/internal/dataplane/inbound/probe.go
+++ b/internal/dataplane/inbound/probe.go
@@ -67,6 +67,6 @@
 // clearSuspicion clears the content of a request that the instance has answered.
 func (p *Proxy) clearSuspicion(request *message.Request) {
 	if !p.options.Suspects.IsEmpty() {
-		p.options.Suspects.Answered(fingerprintOf(request))
+		p.options.Suspects.Clear(fingerprintOf(request))
 	}
 }
--- a/internal/dataplane/inbound/probe_test.go
+++ b/internal/dataplane/inbound/probe_test.go
@@ -26,7 +26,7 @@
 // already suspected, and otherwise becomes suspected. The suspicion may be known to this node
 // or only to the sender, as the record of the earlier crash may not have arrived here yet.
 func TestProbe(t *testing.T) {
-	running := []suspects.InProgress{{Fingerprint: suspects.Of(http.MethodGet, "h", "/x", nil)}}
+	running := []suspects.InProgress{{Fingerprint: suspects.NewFingerprint(http.MethodGet, "h", "/x", nil)}}
 	for name, row := range map[string]struct {
 		known, bySender bool
 		want            suspects.Standing
--- a/internal/dataplane/outbound/log.go
+++ b/internal/dataplane/outbound/log.go
@@ -34,7 +34,7 @@
 		"since_first_ms": e.caller.Elapsed.Milliseconds(), "retries_refused": e.caller.RetriesRefused,
 	})
 	if failed {
-		fingerprint := suspects.Of(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
+		fingerprint := suspects.NewFingerprint(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
 		entry.WithFields(logrus.Fields{"target": e.request.Target, "fingerprint": fingerprint.String()}).Warn("request ended")
 		return
 	}
--- a/internal/dataplane/outbound/suspicion.go
+++ b/internal/dataplane/outbound/suspicion.go
@@ -45,7 +45,7 @@
 func (e *exchange) fingerprint() suspects.Fingerprint {
 	s := &e.suspicion
 	if !s.hasFingerprint {
-		s.fingerprint = suspects.Of(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
+		s.fingerprint = suspects.NewFingerprint(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
 		s.hasFingerprint = true
 	}
 	return s.fingerprint
--- a/internal/dataplane/outbound/suspicion_test.go
+++ b/internal/dataplane/outbound/suspicion_test.go
@@ -38,7 +38,7 @@
 }
 
 func inProgressOf(request *message.Request) []suspects.InProgress {
-	return []suspects.InProgress{{Fingerprint: suspects.Of(request.Method, request.Host, request.Target, request.Body)}}
+	return []suspects.InProgress{{Fingerprint: suspects.NewFingerprint(request.Method, request.Host, request.Target, request.Body)}}
 }
 
 // TestQuarantinedRequestIsRefused: a request that crashes instances is refused without being
--- a/internal/distribution/crashes_test.go
+++ b/internal/distribution/crashes_test.go
@@ -16,7 +16,7 @@
 // crash returns the record of a crash with one request in progress.
 func crash(f *simulation.Fleet, id suspects.CrashID) suspects.Crash {
 	at := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC).Add(f.Now())
-	return suspects.Crash{ID: id, Instance: "i", At: at, Requests: []suspects.Request{{Fingerprint: suspects.Of("GET", "h", fmt.Sprint(id), nil)}}}
+	return suspects.Crash{ID: id, Instance: "i", At: at, Requests: []suspects.Request{{Fingerprint: suspects.NewFingerprint("GET", "h", fmt.Sprint(id), nil)}}}
 }
 
 // allBut reports whether a condition holds for all machines except those named.
--- a/internal/suspects/benchmark_test.go
+++ b/internal/suspects/benchmark_test.go
@@ -19,7 +19,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					if !ledger.IsEmpty() {
-						ledger.Assess(Of("GET", "host.example", "/some/path/of/a/request", body))
+						ledger.Assess(NewFingerprint("GET", "host.example", "/some/path/of/a/request", body))
 					}
 				}
 			})
--- a/internal/suspects/book.go
+++ b/internal/suspects/book.go
@@ -110,9 +110,9 @@
 	return true
 }
 
-// Answered clears a fingerprint after an instance answered such a request, which shows that
+// Clear clears a fingerprint after an instance answered such a request, which shows that
 // the request does not crash instances. It returns the records that changed.
-func (b *CrashRecords) Answered(fingerprint Fingerprint) (changed []Crash) {
+func (b *CrashRecords) Clear(fingerprint Fingerprint) (changed []Crash) {
 	for _, crash := range b.suspected[fingerprint] {
 		crash.find(fingerprint).Cleared = true
 		changed = append(changed, crash.clone())
--- a/internal/suspects/book_test.go
+++ b/internal/suspects/book_test.go
@@ -13,7 +13,7 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // fingerprintOf returns the fingerprint of a request to a path.
-func fingerprintOf(path string) Fingerprint { return Of("GET", "h", path, nil) }
+func fingerprintOf(path string) Fingerprint { return NewFingerprint("GET", "h", path, nil) }
 
 // crashOf returns a crash with requests to the paths in progress. A leading "*" marks a probe.
 func crashOf(id CrashID, after time.Duration, paths ...string) Crash {
@@ -55,7 +55,7 @@
 			book := NewCrashRecords()
 			book.Merge(row.crashes, start)
 			for _, path := range row.answered {
-				book.Answered(fingerprintOf(path))
+				book.Clear(fingerprintOf(path))
 			}
 			for path, want := range row.want {
 				c.Check(book.Assess(fingerprintOf(path), start.Add(row.at)).Standing, qt.Equals, want, qt.Commentf(path))
@@ -81,7 +81,7 @@
 			changed = append(changed, books[at].Merge([]Crash{crashOf(CrashID(id), time.Duration(id)*time.Second, inProgress...)}, start)...)
 			if rapid.Bool().Draw(t, "answered") {
 				at = rapid.IntRange(0, len(books)-1).Draw(t, "answering book")
-				changed = append(changed, books[at].Answered(fingerprintOf(path.Draw(t, "answered path")))...)
+				changed = append(changed, books[at].Clear(fingerprintOf(path.Draw(t, "answered path")))...)
 			}
 		}
 		order := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
@@ -144,14 +144,14 @@
 			c := qt.New(t)
 			var changed []Crash
 			ledger := NewTracker()
-			ledger.SpreadBy(func(crashes []Crash) { changed = append(changed, crashes...) })
+			ledger.PublishWith(func(crashes []Crash) { changed = append(changed, crashes...) })
 			c.Check(ledger.IsEmpty(), qt.IsTrue)
 			ledger.Crashed("i", []InProgress{{a, false}, {b, false}})
 			c.Check(ledger.IsEmpty(), qt.IsFalse)
 			ledger.Crashed("j", row.running)
 			c.Check(ledger.Assess(a).Standing == Quarantined, qt.Equals, row.probed)
 			c.Check(changed, qt.HasLen, 2)
-			ledger.Answered(a)
+			ledger.Clear(a)
 			c.Check(ledger.Assess(a).Standing, qt.Equals, Clear)
 		})
 	}
--- a/internal/suspects/fingerprint.go
+++ b/internal/suspects/fingerprint.go
@@ -21,8 +21,8 @@
 // that it comes from.
 type Fingerprint [FingerprintBytes]byte
 
-// Of returns the fingerprint of a request.
-func Of(method, host, target string, body []byte) Fingerprint {
+// NewFingerprint returns the fingerprint of a request.
+func NewFingerprint(method, host, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, part := range []string{method, host, target} {
 		var length [binary.MaxVarintLen64]byte
--- a/internal/suspects/fingerprint_test.go
+++ b/internal/suspects/fingerprint_test.go
@@ -10,8 +10,8 @@
 // each of them ends.
 func TestFingerprint(t *testing.T) {
 	c := qt.New(t)
-	base := Of("GET", "h", "/a?x", []byte("body"))
-	c.Check(Of("GET", "h", "/a?x", []byte("body")), qt.Equals, base)
+	base := NewFingerprint("GET", "h", "/a?x", []byte("body"))
+	c.Check(NewFingerprint("GET", "h", "/a?x", []byte("body")), qt.Equals, base)
 	c.Check(base.String(), qt.HasLen, 2*FingerprintBytes)
 	parsed, err := ParseFingerprint(base.String())
 	c.Assert(err, qt.IsNil)
@@ -21,12 +21,12 @@
 		c.Check(err, qt.IsNotNil)
 	}
 	for name, other := range map[string]Fingerprint{
-		"method": Of("PUT", "h", "/a?x", []byte("body")),
-		"host":   Of("GET", "g", "/a?x", []byte("body")),
-		"query":  Of("GET", "h", "/a?y", []byte("body")),
-		"body":   Of("GET", "h", "/a?x", []byte("bodz")),
-		"border": Of("GET", "h/", "a?x", []byte("body")),
-		"ending": Of("GET", "h", "/a?xb", []byte("ody")),
+		"method": NewFingerprint("PUT", "h", "/a?x", []byte("body")),
+		"host":   NewFingerprint("GET", "g", "/a?x", []byte("body")),
+		"query":  NewFingerprint("GET", "h", "/a?y", []byte("body")),
+		"body":   NewFingerprint("GET", "h", "/a?x", []byte("bodz")),
+		"border": NewFingerprint("GET", "h/", "a?x", []byte("body")),
+		"ending": NewFingerprint("GET", "h", "/a?xb", []byte("ody")),
 	} {
 		c.Check(other, qt.Not(qt.Equals), base, qt.Commentf(name))
 	}
--- a/internal/suspects/ledger.go
+++ b/internal/suspects/ledger.go
@@ -33,9 +33,9 @@
 	return &Tracker{publish: func([]Crash) {}, now: clock.Now, book: NewCrashRecords()}
 }
 
-// SpreadBy sets the function that sends records that change on this node to other nodes. It
+// PublishWith sets the function that sends records that change on this node to other nodes. It
 // must be called before the Tracker is used.
-func (l *Tracker) SpreadBy(publish func([]Crash)) { l.publish = publish }
+func (l *Tracker) PublishWith(publish func([]Crash)) { l.publish = publish }
 
 // IsEmpty reports whether no request is suspected or quarantined.
 func (l *Tracker) IsEmpty() bool { return !l.hasSuspects.Load() }
@@ -85,13 +85,13 @@
 	return probed
 }
 
-// Answered clears the fingerprint of a request that an instance answered.
-func (l *Tracker) Answered(fingerprint Fingerprint) {
+// Clear clears the fingerprint of a request that an instance answered.
+func (l *Tracker) Clear(fingerprint Fingerprint) {
 	if l.IsEmpty() {
 		return
 	}
 	l.mutex.Lock()
-	changed := l.book.Answered(fingerprint)
+	changed := l.book.Clear(fingerprint)
 	l.hasSuspects.Store(!l.book.IsEmpty())
 	l.mutex.Unlock()
 	if len(changed) > 0 {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Learn merges records received from other nodes.
-func (l *Tracker) Learn(crashes []Crash) {
+// MergeRemote merges records received from other nodes.
+func (l *Tracker) MergeRemote(crashes []Crash) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.book.Merge(crashes, l.now())
