--- a/internal/proxy/inbound/admit.go
+++ b/internal/proxy/inbound/admit.go
@@ -75,7 +75,7 @@
 }
 
 func refusal(reason outcome.Reason, detail string) *outcome.Problem {
-	problem := outcome.New(reason, outcome.NotRun, detail)
+	problem := outcome.NewProblem(reason, outcome.NotRun, detail)
 	return &problem
 }
 
@@ -181,7 +181,7 @@
 			reason, detail = outcome.ReasonDeadline, "the time was over in the queue"
 		}
 	}
-	problem := outcome.New(reason, outcome.NotRun, detail)
+	problem := outcome.NewProblem(reason, outcome.NotRun, detail)
 	if refused.RetryAfter > 0 {
 		problem.RetryAfter = refused.RetryAfter
 	}
--- a/internal/proxy/inbound/exchange.go
+++ b/internal/proxy/inbound/exchange.go
@@ -160,7 +160,7 @@
 		// The transport writes the header after this call, so that the remaining time
 		// is accurate.
 		GotConn: func(info httptrace.GotConnInfo) {
-			remaining[0] = outcome.Remaining(e.deadline)
+			remaining[0] = outcome.FormatRemaining(e.deadline)
 			info.Conn.(*forward.Conn).Assign(e.send)
 		},
 		Got1xxResponse: e.informer.Pass,
@@ -175,17 +175,17 @@
 		result = outcome.Unknown
 	}
 	callerGone := e.request.Context().Err() != nil || senderGone(e.request)
-	problem := outcome.New(outcome.ReasonBroken, result, "")
+	problem := outcome.NewProblem(outcome.ReasonBroken, result, "")
 	switch {
 	case e.deadlinePassed():
-		problem = outcome.New(outcome.ReasonDeadline, result, "")
+		problem = outcome.NewProblem(outcome.ReasonDeadline, result, "")
 	case e.body.readError() != nil:
-		problem = outcome.New(outcome.ReasonBadRequest, result, "the body broke off")
+		problem = outcome.NewProblem(outcome.ReasonBadRequest, result, "the body broke off")
 	case callerGone:
 		return endedCallerGone
 	case result == outcome.NotRun:
 		e.proxy.observeConnectFailure(err)
-		problem = outcome.New(outcome.ReasonConnect, result, "")
+		problem = outcome.NewProblem(outcome.ReasonConnect, result, "")
 	}
 	return endedWithProblem(problem)
 }
--- a/internal/proxy/inbound/idempotency.go
+++ b/internal/proxy/inbound/idempotency.go
@@ -93,13 +93,13 @@
 	var problem outcome.Problem
 	switch verdict {
 	case repeat.Running:
-		problem = outcome.New(outcome.ReasonRepeatInProgress, outcome.Unknown, "")
+		problem = outcome.NewProblem(outcome.ReasonRepeatInProgress, outcome.Unknown, "")
 	case repeat.Done:
-		problem = outcome.New(outcome.ReasonRepeatDone, outcome.Unknown, "")
+		problem = outcome.NewProblem(outcome.ReasonRepeatDone, outcome.Unknown, "")
 	case repeat.Lost:
-		problem = outcome.New(outcome.ReasonRepeatLost, outcome.Unknown, "")
+		problem = outcome.NewProblem(outcome.ReasonRepeatLost, outcome.Unknown, "")
 	case repeat.Conflict:
-		problem = outcome.New(outcome.ReasonRepeatConflict, outcome.NotRun, "")
+		problem = outcome.NewProblem(outcome.ReasonRepeatConflict, outcome.NotRun, "")
 	default:
 		return nil
 	}
--- a/internal/proxy/inbound/response.go
+++ b/internal/proxy/inbound/response.go
@@ -95,7 +95,7 @@
 func (e *exchange) handleShed(response *http.Response) exchangeEnd {
 	e.shed = true
 	e.discard(response)
-	problem := outcome.New(outcome.ReasonOverloaded, outcome.NotRun, "the back end sheds load")
+	problem := outcome.NewProblem(outcome.ReasonOverloaded, outcome.NotRun, "the back end sheds load")
 	if seconds, err := strconv.ParseUint(response.Header.Get("Retry-After"), 10, 31); err == nil {
 		problem.RetryAfter = time.Duration(seconds) * time.Second
 	}
@@ -207,7 +207,7 @@
 	instance, agreed := forward.Upgraded(response, e.upgrade)
 	if !agreed {
 		_ = response.Body.Close()
-		return endedWithProblem(outcome.New(outcome.ReasonBroken, outcome.Unknown, "the back end switched to another protocol"))
+		return endedWithProblem(outcome.NewProblem(outcome.ReasonBroken, outcome.Unknown, "the back end switched to another protocol"))
 	}
 	defer func() { _ = instance.Close() }()
 	e.becomeSession()
--- a/internal/proxy/outbound/admit.go
+++ b/internal/proxy/outbound/admit.go
@@ -39,7 +39,7 @@
 }
 
 func refusal(reason outcome.Reason, detail string) *outcome.Problem {
-	problem := outcome.New(reason, outcome.NotRun, detail)
+	problem := outcome.NewProblem(reason, outcome.NotRun, detail)
 	return &problem
 }
 
--- a/internal/proxy/outbound/affinity.go
+++ b/internal/proxy/outbound/affinity.go
@@ -51,7 +51,7 @@
 	if known {
 		endpoint, present := findProcess(view, e.service, remembered)
 		if !present {
-			problem := outcome.New(outcome.ReasonRepeatLost, outcome.Unknown, "")
+			problem := outcome.NewProblem(outcome.ReasonRepeatLost, outcome.Unknown, "")
 			return nil, &problem
 		}
 		if e.attempts > 0 {
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -135,7 +135,7 @@
 		// The header is written after this call, so the time that it took to get
 		// the connection is not counted as remaining.
 		GotConn: func(info httptrace.GotConnInfo) {
-			remaining[0] = outcome.Remaining(e.deadline)
+			remaining[0] = outcome.FormatRemaining(e.deadline)
 			*reused = info.Reused
 			info.Conn.(*forward.Conn).Assign(current)
 		},
@@ -164,18 +164,18 @@
 	if e.body != nil {
 		switch failed := e.body.callerError(); {
 		case errors.Is(failed, errBodyTooLarge):
-			return outcome.New(outcome.ReasonTooLarge, result, "the body is too large")
+			return outcome.NewProblem(outcome.ReasonTooLarge, result, "the body is too large")
 		case failed != nil:
-			return outcome.New(outcome.ReasonBadRequest, result, "the body broke off")
+			return outcome.NewProblem(outcome.ReasonBadRequest, result, "the body broke off")
 		}
 	}
 	switch {
 	case forward.TimeOver(e.ctx, e.deadline):
-		return outcome.New(outcome.ReasonDeadline, result, "")
+		return outcome.NewProblem(outcome.ReasonDeadline, result, "")
 	case mayHaveRun:
-		return outcome.New(outcome.ReasonBroken, result, "")
+		return outcome.NewProblem(outcome.ReasonBroken, result, "")
 	default:
-		return outcome.New(outcome.ReasonConnect, result, "")
+		return outcome.NewProblem(outcome.ReasonConnect, result, "")
 	}
 }
 
--- a/internal/proxy/outbound/exchange.go
+++ b/internal/proxy/outbound/exchange.go
@@ -129,9 +129,9 @@
 func (e *exchange) run() completion {
 	e.proxy.budgets.forService(e.service).Deposit()
 	if time.Until(e.deadline) <= 0 {
-		return e.respondWithProblem(outcome.New(outcome.ReasonDeadline, outcome.NotRun, ""))
+		return e.respondWithProblem(outcome.NewProblem(outcome.ReasonDeadline, outcome.NotRun, ""))
 	}
-	last := outcome.New(outcome.ReasonNoInstance, outcome.NotRun, "service "+e.service)
+	last := outcome.NewProblem(outcome.ReasonNoInstance, outcome.NotRun, "service "+e.service)
 	for {
 		choice, problem := e.pickInstance()
 		if problem != nil {
--- a/internal/proxy/outbound/fault_test.go
+++ b/internal/proxy/outbound/fault_test.go
@@ -33,7 +33,7 @@
 		if readBody {
 			_, _ = io.Copy(io.Discard, r.Body)
 		}
-		outcome.New(reason, result, "").Write(w)
+		outcome.NewProblem(reason, result, "").Write(w)
 	}
 }
 
--- a/internal/proxy/outbound/session.go
+++ b/internal/proxy/outbound/session.go
@@ -16,7 +16,7 @@
 	if !agreed {
 		_ = response.Body.Close()
 		e.finish(choice, balance.Failed, time.Now())
-		return e.respondWithProblem(outcome.New(outcome.ReasonBroken, outcome.Unknown, "the back end switched to another protocol"))
+		return e.respondWithProblem(outcome.NewProblem(outcome.ReasonBroken, outcome.Unknown, "the back end switched to another protocol"))
 	}
 	defer func() { _ = instance.Close() }()
 	e.becomeSession()
--- a/internal/proxy/outcome/problem.go
+++ b/internal/proxy/outcome/problem.go
@@ -88,10 +88,10 @@
 	return reasons
 }
 
-// New returns a problem with the status and title of the reason. RetryAfter is set for
+// NewProblem returns a problem with the status and title of the reason. RetryAfter is set for
 // reasons for which waiting helps. The caller may change Status (431 for an oversized
 // header) and RetryAfter. A reason unknown to this package gets status 500.
-func New(reason Reason, outcome Outcome, detail string) Problem {
+func NewProblem(reason Reason, outcome Outcome, detail string) Problem {
 	facts, known := infoByReason[reason]
 	if !known {
 		facts = reasonInfo{status: http.StatusInternalServerError, title: "Unknown reason"}
@@ -145,7 +145,7 @@
 	if outcome != NotRun && outcome != Unknown {
 		return Problem{}, false
 	}
-	problem := New(Reason(response.Header.Get(HeaderReason)), outcome, "")
+	problem := NewProblem(Reason(response.Header.Get(HeaderReason)), outcome, "")
 	problem.Status = response.StatusCode
 	problem.RetryAfter = 0
 	seconds, err := strconv.ParseUint(response.Header.Get(headerRetryAfter), 10, 31)
--- a/internal/proxy/outcome/problem_test.go
+++ b/internal/proxy/outcome/problem_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(string(test.reason), func(t *testing.T) {
 			c := qt.New(t)
-			problem := outcome.New(test.reason, outcome.NotRun, "detail")
+			problem := outcome.NewProblem(test.reason, outcome.NotRun, "detail")
 			problem.RetryAfter = test.retryAfter
 			recorder := httptest.NewRecorder()
 			problem.Write(recorder)
@@ -57,7 +57,7 @@
 func TestEachReasonHasAStatus(t *testing.T) {
 	c := qt.New(t)
 	for _, reason := range outcome.Reasons() {
-		c.Check(outcome.New(reason, outcome.Unknown, "").Status, qt.Not(qt.Equals), http.StatusInternalServerError)
+		c.Check(outcome.NewProblem(reason, outcome.Unknown, "").Status, qt.Not(qt.Equals), http.StatusInternalServerError)
 	}
 }
 
--- a/internal/proxy/outcome/request.go
+++ b/internal/proxy/outcome/request.go
@@ -12,8 +12,8 @@
 	return string(node) + "/" + strconv.FormatUint(uint64(incarnation), 10)
 }
 
-// Remaining returns the time until a deadline as the value of HeaderRemaining and
+// FormatRemaining returns the time until a deadline as the value of HeaderRemaining and
 // HeaderTimeout: whole milliseconds, rounded down, at least 0.
-func Remaining(deadline time.Time) string {
+func FormatRemaining(deadline time.Time) string {
 	return strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 0), 10)
 }
