--- a/internal/app/container.go
+++ b/internal/app/container.go
@@ -179,7 +179,7 @@
 	}
 	inputs.Suspects.PublishWith(node.TellCrashes)
 	if store, ok := inputs.Source.(storeReader); ok {
-		store.TellChanges(node.TellFleetChanges)
+		store.OnChanges(node.TellFleetChanges)
 	}
 	return node, nil
 }
--- a/internal/mirror/concurrent_watch_test.go
+++ b/internal/mirror/concurrent_watch_test.go
@@ -59,7 +59,7 @@
 			c := qt.New(t)
 			r := newHarness(t, timeout)
 			published := make(chan snapshot.Change, 100)
-			r.mirror.TellChanges(func(changes []snapshot.Change) {
+			r.mirror.OnChanges(func(changes []snapshot.Change) {
 				for _, change := range changes {
 					published <- change
 				}
@@ -113,7 +113,7 @@
 				var gone, draining, evacuated []string
 				m, err := mirror.New(mirror.Options{Store: emulated, Logger: logging.Discard(), Timeout: time.Minute})
 				c.Assert(err, qt.IsNil)
-				m.TellChanges(func(changes []snapshot.Change) {
+				m.OnChanges(func(changes []snapshot.Change) {
 					for _, change := range changes {
 						switch {
 						case change.Evacuated:
@@ -162,7 +162,7 @@
 	c := qt.New(t)
 	r := newHarness(t, timeout)
 	var published []string
-	r.mirror.TellChanges(func(changes []snapshot.Change) {
+	r.mirror.OnChanges(func(changes []snapshot.Change) {
 		for _, change := range changes {
 			published = append(published, fmt.Sprintf("%s %s", change.Key.Name, change.Instance.State))
 		}
@@ -189,7 +189,7 @@
 func TestNoConcurrentWatchBeforeFirstConfiguration(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
-	r.mirror.TellChanges(func([]snapshot.Change) {})
+	r.mirror.OnChanges(func([]snapshot.Change) {})
 	var concurrentWatches atomic.Int64
 	r.store.SetFault(func(request *http.Request) store.Fault {
 		if prefix := request.URL.Query().Get("pathPrefix"); prefix != "" {
@@ -215,7 +215,7 @@
 	const instances = 100
 	c := qt.New(t)
 	r := newHarness(t, timeout)
-	r.mirror.TellChanges(func([]snapshot.Change) {})
+	r.mirror.OnChanges(func([]snapshot.Change) {})
 	r.store.Put("op/config", configuration(1, "a"))
 	first := r.follow(c, 0)
 	var concurrentWatches atomic.Int64
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -189,11 +189,11 @@
 	return created, nil
 }
 
-// TellChanges sets the callback for changes of instances and evacuations; it must be called before
+// OnChanges sets the callback for changes of instances and evacuations; it must be called before
 // the first read. The callback gets changes as they are read, ahead of the document that contains
 // them, except new ready instances, and removals that are withheld after a store outage. It may
 // block, and is called from several goroutines.
-func (m *Mirror) TellChanges(onChanges func(changes []snapshot.Change)) { m.onChanges = onChanges }
+func (m *Mirror) OnChanges(onChanges func(changes []snapshot.Change)) { m.onChanges = onChanges }
 
 // AwaitRevision returns once the store has changed after the revision, the wait is over or the
 // context ends.
--- a/internal/mirror/relist_test.go
+++ b/internal/mirror/relist_test.go
@@ -138,7 +138,7 @@
 	r.store.Put("servers/i-1", instance("a", "10.0.0.1:80", "ready"))
 	first := r.follow(c, 0)
 	published := make(chan snapshot.Change, 10)
-	r.mirror.TellChanges(func(changes []snapshot.Change) {
+	r.mirror.OnChanges(func(changes []snapshot.Change) {
 		for _, change := range changes {
 			published <- change
 		}
--- a/internal/mirror/restore_test.go
+++ b/internal/mirror/restore_test.go
@@ -22,7 +22,7 @@
 func newRestoredHarness(t *testing.T, c *qt.C) (r *harness, held *snapshot.Document, published *[]snapshot.Change) {
 	r = newHarness(t, timeout)
 	published = new([]snapshot.Change)
-	r.mirror.TellChanges(func(changes []snapshot.Change) { *published = append(*published, changes...) })
+	r.mirror.OnChanges(func(changes []snapshot.Change) { *published = append(*published, changes...) })
 	r.store.SetEra(1)
 	r.store.Put("op/config", configuration(8, "a"))
 	for i := range 4 {
