--- a/internal/app/store_test.go
+++ b/internal/app/store_test.go
@@ -270,7 +270,7 @@
 	rows := map[string]struct{ key, value string }{
 		"route to a missing service": {"op/config", `{"version":2,"services":[{"name":"data"}],"virtualHosts":[{"host":"h.example","paths":[
 			{"name":"read","pathPrefix":"/read/","kind":"safe","timeoutMs":1000,"service":"missing","maxAttempts":1}]}]}`},
-		// A missing number of attempts gets a default (see mirror.TestUnknownWords).
+		// A missing number of attempts gets a default (see mirror.TestUnknownValues).
 		"route with negative attempts": {"op/config", `{"version":2,"services":[{"name":"data"}],"virtualHosts":[{"host":"h.example","paths":[
 			{"name":"read","pathPrefix":"/read/","kind":"safe","timeoutMs":1000,"service":"data","maxAttempts":-1}]}]}`},
 		"instance without an address": {"servers/i-9", `{"info":{"service":"data"},"status":{"state":"ready"}}`},
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -60,13 +60,13 @@
 	// Fault says why the entry cannot be used. An invalid configuration leaves the previous one in
 	// place; an invalid instance entry counts as a removed instance.
 	Fault error
-	// Unknown lists the values of the entry that the adapter does not recognize and replaced by a
+	// UnknownValues lists the values of the entry that the adapter does not recognize and replaced by a
 	// safe default.
-	Unknown []UnknownWord
+	UnknownValues []UnknownValue
 }
 
-// UnknownWord is an unrecognized value of a field of an entry.
-type UnknownWord struct{ Field, Word string }
+// UnknownValue is an unrecognized value of a field of an entry.
+type UnknownValue struct{ Field, Value string }
 
 // Page is a part of the store's content. Pages are not a consistent snapshot: each one shows the
 // store at its own revision At.
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -217,10 +217,10 @@
 	}
 }
 
-// TestUnknownWords: a request kind that the adapter does not recognize is treated as not repeatable
+// TestUnknownValues: a request kind that the adapter does not recognize is treated as not repeatable
 // and logged once per key, and the other routes stay usable. An instance in an unrecognized state is
 // not used; that is logged once per key and revision.
-func TestUnknownWords(t *testing.T) {
+func TestUnknownValues(t *testing.T) {
 	c := qt.New(t)
 	emulated := store.New()
 	server := httptest.NewServer(emulated)
--- a/internal/mirror/unknown_values.go
+++ b/internal/mirror/unknown_values.go
@@ -24,7 +24,7 @@
 // reportedValue is an unrecognized value and the key of its entry.
 type reportedValue struct {
 	key  string
-	word UnknownWord
+	word UnknownValue
 }
 
 func newUnknownValueReporter(registerer prometheus.Registerer, logger logrus.FieldLogger) (*unknownValueReporter, error) {
@@ -44,11 +44,11 @@
 
 func (u *unknownValueReporter) report(items []Item) {
 	for _, item := range items {
-		for _, unknown := range item.Unknown {
+		for _, unknown := range item.UnknownValues {
 			u.counts.WithLabelValues(unknown.Field).Inc()
 			if u.isNew(reportedValue{key: item.Key, word: unknown}) {
 				u.logger.WithFields(logrus.Fields{
-					"key": item.Key, "revision": item.Revision.String(), "field": unknown.Field, "word": unknown.Word,
+					"key": item.Key, "revision": item.Revision.String(), "field": unknown.Field, "word": unknown.Value,
 				}).Warn("unrecognized value in the store: using a safe default")
 			}
 		}
