--- a/internal/mirror/changes.go
+++ b/internal/mirror/changes.go
@@ -12,7 +12,7 @@
 	withholdsRemovals := m.withholdsRemovals(items)
 	var changes []snapshot.Change
 	for _, item := range items {
-		if withholdsRemovals && item.Kind == KindInstance && item.Gone {
+		if withholdsRemovals && item.Kind == KindInstance && item.Removed {
 			continue
 		}
 		if change, ok := changeOf(item, m.options); ok {
@@ -50,12 +50,12 @@
 	switch {
 	case item.Name == "" || revision == 0:
 		return snapshot.Change{}, false
-	case item.Kind == KindInstance && (item.Gone || validateItem(item, options) != nil):
+	case item.Kind == KindInstance && (item.Removed || validateItem(item, options) != nil):
 		return snapshot.InstanceRemoval(revision, item.Name), true
 	case item.Kind == KindInstance:
 		return snapshot.InstanceChange(revision, *item.Instance), true
 	case item.Kind == KindEvacuation && validateItem(item, options) == nil:
-		return snapshot.EvacuationChange(revision, item.Name, !item.Gone), true
+		return snapshot.EvacuationChange(revision, item.Name, !item.Removed), true
 	default:
 		return snapshot.Change{}, false
 	}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -51,9 +51,9 @@
 	Name string
 	// Revision is the revision of the entry's last change, in the epoch in which it was read.
 	Revision snapshot.Revision
-	// Gone says that the entry was removed.
-	Gone bool
-	// Configuration, Instance or Evacuation is set according to Kind, unless Gone or Fault is set.
+	// Removed says that the entry was removed.
+	Removed bool
+	// Configuration, Instance or Evacuation is set according to Kind, unless Removed or Fault is set.
 	Configuration *Configuration
 	Instance      *snapshot.Instance
 	Evacuation    *snapshot.Evacuation
--- a/internal/mirror/outage.go
+++ b/internal/mirror/outage.go
@@ -110,7 +110,7 @@
 		r.removed = make(map[string]bool)
 	}
 	for _, item := range items {
-		if held, listed := m.published.instances[item.Key]; item.Gone && listed && held.State == snapshot.InstanceReady {
+		if held, listed := m.published.instances[item.Key]; item.Removed && listed && held.State == snapshot.InstanceReady {
 			r.removed[item.Key] = true
 		}
 	}
--- a/internal/mirror/scripted_test.go
+++ b/internal/mirror/scripted_test.go
@@ -43,7 +43,7 @@
 
 func (s *scriptedStore) remove(names ...string) {
 	for _, name := range names {
-		s.write(mirror.Item{Kind: mirror.KindInstance, Key: name, Name: name, Gone: true})
+		s.write(mirror.Item{Kind: mirror.KindInstance, Key: name, Name: name, Removed: true})
 	}
 }
 
@@ -56,7 +56,7 @@
 	s.revision++
 	item.Revision = s.revision
 	s.events = append(s.events, item)
-	if item.Gone {
+	if item.Removed {
 		delete(s.items, item.Key)
 		return
 	}
--- a/internal/mirror/state.go
+++ b/internal/mirror/state.go
@@ -89,7 +89,7 @@
 // validateItem returns the reason why an item cannot be applied, or nil.
 func validateItem(item Item, options Options) error {
 	switch {
-	case item.Fault != nil || item.Gone:
+	case item.Fault != nil || item.Removed:
 		return item.Fault
 	case item.Instance != nil:
 		return item.Instance.Check()
@@ -140,11 +140,11 @@
 	switch {
 	case item.Kind == KindConfiguration && item.Configuration != nil:
 		s.configuration = item.Configuration
-	case item.Kind == KindInstance && item.Gone:
+	case item.Kind == KindInstance && item.Removed:
 		delete(s.instances, item.Key)
 	case item.Kind == KindInstance && item.Instance != nil:
 		s.instances[item.Key] = *item.Instance
-	case item.Kind == KindEvacuation && item.Gone:
+	case item.Kind == KindEvacuation && item.Removed:
 		delete(s.evacuations, item.Key)
 	case item.Kind == KindEvacuation && item.Evacuation != nil:
 		s.evacuations[item.Key] = *item.Evacuation
@@ -162,7 +162,7 @@
 	}
 	for key, instance := range previous.instances {
 		if _, listed := s.instances[key]; !listed {
-			changed = append(changed, Item{Kind: KindInstance, Key: key, Name: instance.Name, Revision: s.revision, Gone: true})
+			changed = append(changed, Item{Kind: KindInstance, Key: key, Name: instance.Name, Revision: s.revision, Removed: true})
 		}
 	}
 	for key, evacuation := range s.evacuations {
@@ -172,7 +172,7 @@
 	}
 	for key, evacuation := range previous.evacuations {
 		if _, listed := s.evacuations[key]; !listed {
-			changed = append(changed, Item{Kind: KindEvacuation, Key: key, Name: evacuation.Zone, Revision: s.revision, Gone: true})
+			changed = append(changed, Item{Kind: KindEvacuation, Key: key, Name: evacuation.Zone, Revision: s.revision, Removed: true})
 		}
 	}
 	return changed
--- a/internal/mirror/withdrawals.go
+++ b/internal/mirror/withdrawals.go
@@ -30,11 +30,11 @@
 // withdrawalMessage returns the log message for an item that takes instances out of service.
 func withdrawalMessage(item Item) (message string, ends bool) {
 	switch {
-	case item.Kind == KindInstance && item.Gone:
+	case item.Kind == KindInstance && item.Removed:
 		return "read from the store: instance removed", true
 	case item.Instance != nil && item.Instance.State == snapshot.InstanceDraining:
 		return "read from the store: instance is draining", true
-	case item.Kind == KindEvacuation && !item.Gone:
+	case item.Kind == KindEvacuation && !item.Removed:
 		return "read from the store: zone is evacuated", true
 	default:
 		return "", false
