--- a/internal/app/store.go
+++ b/internal/app/store.go
@@ -62,13 +62,13 @@
 	}
 	store := platform.NewStore(configured.Platform.URL, client.DialRemote)
 	followed, err := mirror.New(mirror.Options{
-		Store:      store,
-		Logger:     logging.Part(logger, "mirror"),
-		MemberOf:   sidecarOf(configured, regions),
-		Validate:   validateConfiguration,
-		Timeout:    configured.Platform.Timeout,
-		Registerer: registerer,
-		NoGrace:    !configured.Mechanisms.LapseGrace,
+		Store:                store,
+		Logger:               logging.Part(logger, "mirror"),
+		MemberOf:             sidecarOf(configured, regions),
+		Validate:             validateConfiguration,
+		Timeout:              configured.Platform.Timeout,
+		Registerer:           registerer,
+		DisableRecoveryGrace: !configured.Mechanisms.LapseGrace,
 	})
 	return storeReader{Mirror: followed, store: store}, err
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -119,8 +119,8 @@
 	// Timeout is how long a response may take to begin, not counting the wait of a watch, and how
 	// long it may pause between bytes.
 	Timeout time.Duration
-	// NoGrace treats entries whose lease expired during a store outage as removed at once.
-	NoGrace bool
+	// DisableRecoveryGrace treats entries whose lease expired during a store outage as removed at once.
+	DisableRecoveryGrace bool
 	// Registerer registers the metrics; nil for none.
 	Registerer prometheus.Registerer
 }
--- a/internal/mirror/outage.go
+++ b/internal/mirror/outage.go
@@ -86,7 +86,7 @@
 func (m *Mirror) withholdsState(now time.Time) bool {
 	missing := m.published.missingFrom(m.state)
 	switch {
-	case missing == 0 || m.options.NoGrace || !now.Before(m.recovery.until):
+	case missing == 0 || m.options.DisableRecoveryGrace || !now.Before(m.recovery.until):
 		m.recovery.withholding = false
 	case !m.recovery.withholding && m.published.isMassRemoval(missing):
 		m.recovery.withholding = true
@@ -102,7 +102,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	r := &m.recovery
-	if m.options.NoGrace || !r.withholding && !clock.Now().Before(r.until) {
+	if m.options.DisableRecoveryGrace || !r.withholding && !clock.Now().Before(r.until) {
 		r.removed = nil
 		return false
 	}
