--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -97,7 +97,7 @@
 	return created, nil
 }
 
-func plainTextRefusal(status int, reason string) *message.Answer {
+func plainTextRefusal(status int, reason string) *message.Response {
 	return message.Whole(status, nil, []byte(reason+"\n"))
 }
 
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -154,13 +154,13 @@
 // outcome is hop.Answered.
 type Delivery struct {
 	Report hop.Report
-	Answer *message.Answer
+	Answer *message.Response
 	// Err is the reason why there is no answer. It is only logged.
 	Err error
 }
 
 // Serve handles a request from another node.
-func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Answer {
+func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Response {
 	if request.Method == client.VerifyMethod && request.Target == client.VerifyTarget {
 		answer := message.Whole(http.StatusNoContent, nil, nil)
 		set(answer.Header, p.options.Names.RequestID, request.ID)
@@ -176,7 +176,7 @@
 
 // answerFor returns the answer for the other node, which accepts no answer without the
 // ID of its request.
-func (p *Proxy) answerFor(request *message.Request, delivery Delivery) *message.Answer {
+func (p *Proxy) answerFor(request *message.Request, delivery Delivery) *message.Response {
 	answer := delivery.Answer
 	if answer == nil {
 		answer = message.Whole(http.StatusServiceUnavailable, nil, nil)
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -134,7 +134,7 @@
 // forwardResponse forwards a response: a short one once it is complete, a long one or an
 // event stream as it arrives.
 func (p *Proxy) forwardResponse(response *client.Response, request *message.Request, order hop.Order, started time.Time, slot *queue.Slot, cancel func()) Delivery {
-	answer := &message.Answer{Status: response.Status, Header: response.Header, Length: response.Length}
+	answer := &message.Response{Status: response.Status, Header: response.Header, Length: response.Length}
 	message.StripHopByHop(answer.Header)
 	body, complete, err := response.Hold()
 	if err == nil {
--- a/internal/dataplane/message/message.go
+++ b/internal/dataplane/message/message.go
@@ -48,8 +48,8 @@
 // SenderGone reports whether the client is known to have closed its connection.
 func (r *Request) SenderGone() bool { return r.Gone != nil && r.Gone() }
 
-// Answer is the response to one request.
-type Answer struct {
+// Response is the response to one request.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body is the whole body, or its start when Stream is set.
@@ -64,18 +64,18 @@
 }
 
 // Finish closes Stream, if there is one.
-func (a *Answer) Finish() {
+func (a *Response) Finish() {
 	if a != nil && a.Stream != nil {
 		_ = a.Stream.Close()
 	}
 }
 
 // Whole returns a response with a complete body.
-func Whole(status int, header http.Header, body []byte) *Answer {
+func Whole(status int, header http.Header, body []byte) *Response {
 	if header == nil {
 		header = make(http.Header)
 	}
-	return &Answer{Status: status, Header: header, Body: body, Length: int64(len(body))}
+	return &Response{Status: status, Header: header, Body: body, Length: int64(len(body))}
 }
 
 // hopByHop lists the fields that are not forwarded, as they concern one connection only.
--- a/internal/dataplane/outbound/exchange.go
+++ b/internal/dataplane/outbound/exchange.go
@@ -64,7 +64,7 @@
 	// fullRefusals counts the refusals for lack of capacity.
 	fullRefusals int
 	// failedAnswer is the last error answer of an instance to a request that may be repeated.
-	failedAnswer *message.Answer
+	failedAnswer *message.Response
 	// minRetryAfter is the shortest RetryAfter of the refusals; lastReason is the reason in the
 	// last report.
 	minRetryAfter time.Duration
@@ -80,14 +80,14 @@
 // sendResult is the result of one send.
 type sendResult struct {
 	report hop.Report
-	answer *message.Answer // set if the report's outcome is hop.Answered
+	answer *message.Response // set if the report's outcome is hop.Answered
 	// reported is false if the node beside the instance sent no report.
 	reported bool
 	err      error
 }
 
 // run sends the request until there is a final answer.
-func (e *exchange) run() *message.Answer {
+func (e *exchange) run() *message.Response {
 	e.registerRequest()
 	defer e.returnRepeat()
 	for e.tries < maxTries && e.fullRefusals < maxFullRefusals {
@@ -145,7 +145,7 @@
 }
 
 // handleResult decides whether a send gave the final answer.
-func (e *exchange) handleResult(sent sendResult) (answer *message.Answer, final bool) {
+func (e *exchange) handleResult(sent sendResult) (answer *message.Response, final bool) {
 	e.lastReason = sent.report.Reason
 	switch sent.report.Outcome {
 	case hop.Answered:
@@ -194,7 +194,7 @@
 
 // handleAnswer returns an instance's answer as the final one, unless it is a server error and
 // the request can be repeated.
-func (e *exchange) handleAnswer(sent sendResult) (*message.Answer, bool) {
+func (e *exchange) handleAnswer(sent sendResult) (*message.Response, bool) {
 	e.possibleRuns++
 	failed := sent.answer.Status >= http.StatusInternalServerError
 	if failed && e.route.MayRepeat(e.request.Method) && sent.answer.Stream == nil &&
--- a/internal/dataplane/outbound/feedback_test.go
+++ b/internal/dataplane/outbound/feedback_test.go
@@ -18,7 +18,7 @@
 	answer := func(status int, execution time.Duration) sendResult {
 		return sendResult{
 			report: hop.Report{Outcome: hop.Answered, Execution: execution}, reported: true,
-			answer: &message.Answer{Status: status},
+			answer: &message.Response{Status: status},
 		}
 	}
 	failure := func(outcome hop.Outcome, reason hop.Reason, execution time.Duration) sendResult {
--- a/internal/dataplane/outbound/outbound.go
+++ b/internal/dataplane/outbound/outbound.go
@@ -147,9 +147,9 @@
 const stoppingRetryAfter = time.Second
 
 // Serve answers one request of a caller.
-func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Answer {
+func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Response {
 	if request.SenderGone() {
-		return &message.Answer{Abort: true}
+		return &message.Response{Abort: true}
 	}
 	current := p.options.Snapshots.Current()
 	if current == nil {
@@ -188,12 +188,12 @@
 }
 
 // Refuse returns the answer to a request that the server could not accept.
-func (p *Proxy) Refuse(status int, reason string) *message.Answer {
+func (p *Proxy) Refuse(status int, reason string) *message.Response {
 	p.metrics.ended("", outcomeMalformed, 0)
 	return p.errorAnswer(nil, status, reason, 0)
 }
 
-func (p *Proxy) refuseUnconfigured(request *message.Request) *message.Answer {
+func (p *Proxy) refuseUnconfigured(request *message.Request) *message.Response {
 	p.metrics.ended("", outcomeNotRun, 0)
 	return p.errorAnswer(request, http.StatusServiceUnavailable, "the node holds no configuration yet", unconfiguredRetryAfter)
 }
@@ -233,7 +233,7 @@
 )
 
 // errorAnswer returns an answer made by the proxy itself.
-func (p *Proxy) errorAnswer(request *message.Request, status int, reason string, retryAfter time.Duration) *message.Answer {
+func (p *Proxy) errorAnswer(request *message.Request, status int, reason string, retryAfter time.Duration) *message.Response {
 	answer := message.Whole(status, nil, []byte(reason+"\n"))
 	answer.Header[headerContentType] = []string{plainText}
 	if request != nil && p.options.Names.RequestID != "" {
--- a/internal/dataplane/outbound/refuse.go
+++ b/internal/dataplane/outbound/refuse.go
@@ -37,11 +37,11 @@
 
 // refuse returns the final answer when no further instance accepts the request. If it has not
 // run, it never will; if it has, the caller gets the result.
-func (e *exchange) refuse() *message.Answer {
+func (e *exchange) refuse() *message.Response {
 	switch {
 	case e.callerGone():
 		e.finish(outcomeCallerGone, 0)
-		return &message.Answer{Abort: true}
+		return &message.Response{Abort: true}
 	case e.failedAnswer != nil:
 		e.finish(outcomeAnswered, e.failedAnswer.Status)
 		return e.failedAnswer
@@ -79,10 +79,10 @@
 }
 
 // failUnknown returns the final answer to a request that may have run.
-func (e *exchange) failUnknown(sent sendResult) *message.Answer {
+func (e *exchange) failUnknown(sent sendResult) *message.Response {
 	if e.callerGone() {
 		e.finish(outcomeCallerGone, 0)
-		return &message.Answer{Abort: true}
+		return &message.Response{Abort: true}
 	}
 	status := http.StatusBadGateway
 	if e.ctx.Err() != nil || sent.report.Reason == hop.ReasonDeadline {
--- a/internal/dataplane/outbound/sidecar_pools.go
+++ b/internal/dataplane/outbound/sidecar_pools.go
@@ -186,7 +186,7 @@
 
 // takeAnswer buffers a short answer until it is complete and streams a longer one.
 func takeAnswer(response *client.Response, report hop.Report) sendResult {
-	answer := &message.Answer{Status: response.Status, Header: response.Header, Length: response.Length}
+	answer := &message.Response{Status: response.Status, Header: response.Header, Length: response.Length}
 	message.StripHopByHop(answer.Header)
 	body, whole, err := response.Hold()
 	switch {
--- a/internal/dataplane/outbound/suspicion.go
+++ b/internal/dataplane/outbound/suspicion.go
@@ -98,7 +98,7 @@
 
 // refuseQuarantined returns the final answer to a request that crashes instances. If it has not
 // run, the answer says when to retry: not before the next probe is due.
-func (e *exchange) refuseQuarantined() *message.Answer {
+func (e *exchange) refuseQuarantined() *message.Response {
 	e.lastReason = hop.ReasonCrashesInstances
 	if e.possibleRuns > 0 || e.callerGone() {
 		return e.refuse()
--- a/internal/dataplane/server/admit.go
+++ b/internal/dataplane/server/admit.go
@@ -16,7 +16,7 @@
 
 // readAdmitted reads the body after Admit has accepted it. A refused body is not sent, so
 // the connection can be used for further requests.
-func (c *connection) readAdmitted(parsed *http.Request, read *exchange, limits Limits) (*exchange, *message.Answer) {
+func (c *connection) readAdmitted(parsed *http.Request, read *exchange, limits Limits) (*exchange, *message.Response) {
 	admission, connected := c.awaitAdmission(read.request, parsed.ContentLength)
 	done := admission.Done
 	if done == nil {
--- a/internal/dataplane/server/admit_test.go
+++ b/internal/dataplane/server/admit_test.go
@@ -27,14 +27,14 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	created := server.New(server.Options{
-		Handler: handlerFunc(func(_ context.Context, request *message.Request) *message.Answer {
+		Handler: handlerFunc(func(_ context.Context, request *message.Request) *message.Response {
 			return message.Whole(http.StatusOK, nil, []byte(strconv.Itoa(len(request.Body))))
 		}),
 		Limits: func() server.Limits {
 			return server.Limits{MaxHeaderBytes: 4096, MaxBodyBytes: 1 << 20, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
 		},
 		Admit:  admit,
-		Refuse: func(status int, reason string) *message.Answer { return message.Whole(status, nil, []byte(reason)) },
+		Refuse: func(status int, reason string) *message.Response { return message.Whole(status, nil, []byte(reason)) },
 	})
 	go func() { _ = created.Serve(listener) }()
 	t.Cleanup(created.Close)
@@ -46,10 +46,10 @@
 	return pool
 }
 
-type handlerFunc func(ctx context.Context, request *message.Request) *message.Answer
+type handlerFunc func(ctx context.Context, request *message.Request) *message.Response
 
 // Serve calls the function.
-func (f handlerFunc) Serve(ctx context.Context, request *message.Request) *message.Answer {
+func (f handlerFunc) Serve(ctx context.Context, request *message.Request) *message.Response {
 	return f(ctx, request)
 }
 
--- a/internal/dataplane/server/connection.go
+++ b/internal/dataplane/server/connection.go
@@ -23,7 +23,7 @@
 	// closeAfter is set when the connection is to be closed after the response.
 	closeAfter bool
 	isHead     bool
-	answer     chan *message.Answer
+	answer     chan *message.Response
 	// refused is set when the response is already in answer and the request does not run.
 	refused bool
 	// reportsProgress is set when the client asked for progress reports.
--- a/internal/dataplane/server/progress.go
+++ b/internal/dataplane/server/progress.go
@@ -17,7 +17,7 @@
 // awaitAnswer waits for the response to a request and meanwhile sends progress reports, if the
 // client asked for them. Without them a client can't tell a dead connection from a request
 // that takes long.
-func (c *connection) awaitAnswer(next *exchange) *message.Answer {
+func (c *connection) awaitAnswer(next *exchange) *message.Response {
 	if !next.reportsProgress {
 		return <-next.answer
 	}
--- a/internal/dataplane/server/progress_test.go
+++ b/internal/dataplane/server/progress_test.go
@@ -18,7 +18,7 @@
 // blockingHandler answers each request after release is closed.
 type blockingHandler struct{ release chan struct{} }
 
-func (h blockingHandler) Serve(context.Context, *message.Request) *message.Answer {
+func (h blockingHandler) Serve(context.Context, *message.Request) *message.Response {
 	<-h.release
 	return message.Whole(http.StatusOK, nil, []byte("done"))
 }
@@ -35,7 +35,7 @@
 				Handler: handler, Limits: func() server.Limits {
 					return server.Limits{MaxHeaderBytes: 4096, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
 				},
-				Refuse:         func(status int, reason string) *message.Answer { return message.Whole(status, nil, []byte(reason)) },
+				Refuse:         func(status int, reason string) *message.Response { return message.Whole(status, nil, []byte(reason)) },
 				ProgressHeader: field, ProgressInterval: time.Millisecond,
 			})
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/dataplane/server/read.go
+++ b/internal/dataplane/server/read.go
@@ -73,7 +73,7 @@
 
 // readRequest reads one request to its end. If the request cannot be accepted, it returns the
 // response that refuses it instead. If both results are nil, the client left.
-func (c *connection) readRequest() (*exchange, *message.Answer) {
+func (c *connection) readRequest() (*exchange, *message.Response) {
 	limits := c.server.options.Limits()
 	_ = c.conn.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
 	c.bound.set(int64(limits.MaxHeaderBytes) + readSlack)
@@ -102,7 +102,7 @@
 	return read, nil
 }
 
-func (c *connection) refuseHeader(err error) *message.Answer {
+func (c *connection) refuseHeader(err error) *message.Response {
 	switch {
 	case errors.Is(err, errTooLong):
 		return c.server.options.Refuse(http.StatusRequestHeaderFieldsTooLarge, "the header is too large")
@@ -113,7 +113,7 @@
 	}
 }
 
-func (c *connection) validate(parsed *http.Request, limits Limits) *message.Answer {
+func (c *connection) validate(parsed *http.Request, limits Limits) *message.Response {
 	refuse := c.server.options.Refuse
 	switch id := c.server.options.RequestID; {
 	case parsed.Method == http.MethodConnect || parsed.Method == http.MethodTrace:
@@ -131,7 +131,7 @@
 
 // readBody reads the whole body, so that the request can be sent again after a failure. ok is
 // false when the client left.
-func (c *connection) readBody(parsed *http.Request, limits Limits) (body []byte, refusal *message.Answer, ok bool) {
+func (c *connection) readBody(parsed *http.Request, limits Limits) (body []byte, refusal *message.Response, ok bool) {
 	if parsed.Body == nil || parsed.Body == http.NoBody {
 		return nil, nil, true
 	}
@@ -213,17 +213,17 @@
 	}
 	return &exchange{
 		request: request, closeAfter: closeAfter, isHead: parsed.Method == http.MethodHead, reportsProgress: reportsProgress,
-		answer: make(chan *message.Answer, 1),
+		answer: make(chan *message.Response, 1),
 	}
 }
 
 // refuse queues the response to a request that cannot be accepted; the connection closes after
 // it. It returns false when the connection is already closing.
-func (c *connection) refuse(answer *message.Answer) bool {
+func (c *connection) refuse(answer *message.Response) bool {
 	if !c.accept() {
 		return false
 	}
-	refused := &exchange{closeAfter: true, answer: make(chan *message.Answer, 1)}
+	refused := &exchange{closeAfter: true, answer: make(chan *message.Response, 1)}
 	refused.answer <- answer
 	c.queue <- refused
 	return true
--- a/internal/dataplane/server/server.go
+++ b/internal/dataplane/server/server.go
@@ -18,7 +18,7 @@
 
 // Handler answers requests. The context ends when the client has left.
 type Handler interface {
-	Serve(ctx context.Context, request *message.Request) *message.Answer
+	Serve(ctx context.Context, request *message.Request) *message.Response
 }
 
 // Limits restrict what a client may send.
@@ -42,7 +42,7 @@
 	// may block; the context ends when the client has left. nil: every body is accepted.
 	Admit func(ctx context.Context, request *message.Request, bytes int64) Admission
 	// Refuse returns the response to a request that cannot be accepted, with that status.
-	Refuse func(status int, reason string) *message.Answer
+	Refuse func(status int, reason string) *message.Response
 	// ProgressHeader is the field by which a client asks for progress reports; empty: there
 	// are none.
 	ProgressHeader string
@@ -54,7 +54,7 @@
 // Admission is the decision about a body that has not been sent yet.
 type Admission struct {
 	// Refusal is the response to a request whose body is not accepted, nil if it is.
-	Refusal *message.Answer
+	Refusal *message.Response
 	// Interim holds the fields of the 100 (Continue) response.
 	Interim http.Header
 	// Done, unless nil, is called when the body was read completely or will not be.
--- a/internal/dataplane/server/server_test.go
+++ b/internal/dataplane/server/server_test.go
@@ -21,14 +21,14 @@
 const idHeader = "Test-Id"
 
 // handler implements server.Handler with a function.
-type handler func(ctx context.Context, request *message.Request) *message.Answer
+type handler func(ctx context.Context, request *message.Request) *message.Response
 
 // Serve calls the function.
-func (h handler) Serve(ctx context.Context, request *message.Request) *message.Answer {
+func (h handler) Serve(ctx context.Context, request *message.Request) *message.Response {
 	return h(ctx, request)
 }
 
-func echo(_ context.Context, request *message.Request) *message.Answer {
+func echo(_ context.Context, request *message.Request) *message.Response {
 	return message.Whole(http.StatusOK, nil, append([]byte(request.ID+":"), request.Body...))
 }
 
@@ -45,7 +45,7 @@
 		Limits: func() server.Limits {
 			return server.Limits{MaxHeaderBytes: 2 << 10, MaxBodyBytes: 1 << 20, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
 		},
-		Refuse: func(status int, reason string) *message.Answer { return message.Whole(status, nil, []byte(reason)) },
+		Refuse: func(status int, reason string) *message.Response { return message.Whole(status, nil, []byte(reason)) },
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -84,7 +84,7 @@
 func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	c := qt.New(t)
 	third := make(chan struct{})
-	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Answer {
+	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Response {
 		switch request.ID {
 		case "1":
 			<-third
@@ -104,11 +104,11 @@
 func TestClientDisconnectCancels(t *testing.T) {
 	c := qt.New(t)
 	began, cancelled := make(chan struct{}), make(chan struct{})
-	r := newTestServer(t, func(ctx context.Context, _ *message.Request) *message.Answer {
+	r := newTestServer(t, func(ctx context.Context, _ *message.Request) *message.Response {
 		close(began)
 		<-ctx.Done()
 		close(cancelled)
-		return &message.Answer{Abort: true}
+		return &message.Response{Abort: true}
 	})
 	r.send(c, get("1"))
 	<-began
@@ -165,7 +165,7 @@
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newTestServer(t, func(context.Context, *message.Request) *message.Answer {
+			r := newTestServer(t, func(context.Context, *message.Request) *message.Response {
 				t.Error("a refused request ran")
 				return message.Whole(http.StatusOK, nil, nil)
 			})
@@ -183,7 +183,7 @@
 	c := qt.New(t)
 	second := make(chan struct{})
 	draining := make(chan struct{})
-	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Answer {
+	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Response {
 		if request.ID == "2" {
 			close(second)
 		}
@@ -222,8 +222,8 @@
 	for name, length := range map[string]int64{"with a length": 100, "in chunks": -1} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newTestServer(t, func(context.Context, *message.Request) *message.Answer {
-				return &message.Answer{Status: http.StatusOK, Header: make(http.Header), Stream: &brokenStream{}, Length: length}
+			r := newTestServer(t, func(context.Context, *message.Request) *message.Response {
+				return &message.Response{Status: http.StatusOK, Header: make(http.Header), Stream: &brokenStream{}, Length: length}
 			})
 			r.send(c, get("1"))
 			response, err := http.ReadResponse(r.reader, nil)
@@ -239,7 +239,7 @@
 func TestCloseIdleKeepsBusyConnections(t *testing.T) {
 	c := qt.New(t)
 	began, proceed := make(chan struct{}), make(chan struct{})
-	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Answer {
+	r := newTestServer(t, func(ctx context.Context, request *message.Request) *message.Response {
 		close(began)
 		<-proceed
 		return echo(ctx, request)
--- a/internal/dataplane/server/write.go
+++ b/internal/dataplane/server/write.go
@@ -28,7 +28,7 @@
 }
 
 // writeAnswer writes a response and reports whether further ones may follow on the connection.
-func (c *connection) writeAnswer(writer *bufio.Writer, next *exchange, answer *message.Answer) bool {
+func (c *connection) writeAnswer(writer *bufio.Writer, next *exchange, answer *message.Response) bool {
 	closes := c.decideClose(next, answer.Abort)
 	if answer.Abort {
 		c.closeNow()
@@ -62,7 +62,7 @@
 }
 
 // writeMessage writes one response completely, or returns an error.
-func writeMessage(writer *bufio.Writer, next *exchange, answer *message.Answer, closes bool) error {
+func writeMessage(writer *bufio.Writer, next *exchange, answer *message.Response, closes bool) error {
 	writeStatusLine(writer, answer.Status)
 	header := answer.Header
 	bodyless := next.isHead || answer.Status == http.StatusNoContent || answer.Status == http.StatusNotModified
@@ -101,7 +101,7 @@
 	_, _ = writer.WriteString("\r\n")
 }
 
-func writeBody(writer *bufio.Writer, answer *message.Answer, chunked bool) error {
+func writeBody(writer *bufio.Writer, answer *message.Response, chunked bool) error {
 	if answer.Stream == nil {
 		_, err := writer.Write(answer.Body)
 		return err
@@ -123,7 +123,7 @@
 }
 
 // writeChunks writes each part of the stream as one chunk as soon as it arrives.
-func writeChunks(writer *bufio.Writer, answer *message.Answer) error {
+func writeChunks(writer *bufio.Writer, answer *message.Response) error {
 	if err := writeChunk(writer, answer.Body); err != nil {
 		return err
 	}
