--- a/internal/dataplane/inbound/check.go
+++ b/internal/dataplane/inbound/check.go
@@ -37,7 +37,7 @@
 // slot may have been long.
 func (p *Proxy) recheckTarget(ctx context.Context, request *message.Request, order hop.Order, deadline time.Time) hop.Reason {
 	switch {
-	case ctx.Err() != nil || request.SenderGone():
+	case ctx.Err() != nil || request.IsClientGone():
 		return hop.ReasonCancelled
 	case !deadline.After(time.Now()):
 		return hop.ReasonDeadline
--- a/internal/dataplane/message/message.go
+++ b/internal/dataplane/message/message.go
@@ -41,12 +41,12 @@
 	Body   []byte
 	// Arrived is when the header of the request was read.
 	Arrived time.Time
-	// Gone reports whether the client has closed its connection; nil: unknown.
-	Gone func() bool
+	// ClientGone reports whether the client has closed its connection; nil: unknown.
+	ClientGone func() bool
 }
 
-// SenderGone reports whether the client is known to have closed its connection.
-func (r *Request) SenderGone() bool { return r.Gone != nil && r.Gone() }
+// IsClientGone reports whether the client is known to have closed its connection.
+func (r *Request) IsClientGone() bool { return r.ClientGone != nil && r.ClientGone() }
 
 // Response is the response to one request.
 type Response struct {
--- a/internal/dataplane/outbound/outbound.go
+++ b/internal/dataplane/outbound/outbound.go
@@ -148,7 +148,7 @@
 
 // Serve answers one request of a caller.
 func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Response {
-	if request.SenderGone() {
+	if request.IsClientGone() {
 		return &message.Response{Abort: true}
 	}
 	current := p.options.Snapshots.Current()
--- a/internal/dataplane/server/read.go
+++ b/internal/dataplane/server/read.go
@@ -200,13 +200,13 @@
 	reportsProgress := progressHeader != "" && len(header[progressHeader]) > 0
 	delete(header, progressHeader)
 	request := &message.Request{
-		Method:  parsed.Method,
-		Target:  parsed.RequestURI,
-		Path:    message.PathOf(parsed.RequestURI),
-		Host:    parsed.Host,
-		Header:  header,
-		Arrived: time.Now(),
-		Gone:    c.peerClosed,
+		Method:     parsed.Method,
+		Target:     parsed.RequestURI,
+		Path:       message.PathOf(parsed.RequestURI),
+		Host:       parsed.Host,
+		Header:     header,
+		Arrived:    time.Now(),
+		ClientGone: c.peerClosed,
 	}
 	if id := c.server.options.RequestID; id != "" {
 		request.ID = parsed.Header[id][0]
