--- a/internal/app/store_expect_test.go
+++ b/internal/app/store_expect_test.go
@@ -39,7 +39,7 @@
 	order := hop.Order{Instance: "i-0", Remaining: time.Minute, MaxWait: time.Minute, Revision: 1}
 	r.c.Check(r.sendHeader(0, 4000, order, "accepted"), qt.Equals, http.StatusContinue)
 	expired := order
-	expired.Expected = 2 * time.Minute
+	expired.ServiceTime = 2 * time.Minute
 	r.c.Check(r.sendHeader(0, 4000, expired, "expired"), qt.Equals, http.StatusServiceUnavailable)
 	r.awaitRevision(r.put(0, "draining"))
 	r.c.Check(r.sendHeader(0, 4000, order, "draining"), qt.Equals, http.StatusServiceUnavailable)
--- a/internal/dataplane/balance/balance.go
+++ b/internal/dataplane/balance/balance.go
@@ -300,7 +300,7 @@
 		if report.Reason != hop.ReasonUnconfigured { // such a node does not know the state of its instance
 			known.cold.Report(report.ColdFor, now)
 		}
-		known.setReportedSlowdown(report.Speed, now)
+		known.setReportedSlowdown(report.SlowdownPercent, now)
 		b.serviceLoadOf(c.Instance.Service).record(report, now)
 		known.backlog, known.linkRate = report.Backlog, kibibyte*float64(report.LinkRate)
 	}
--- a/internal/dataplane/balance/sampler_test.go
+++ b/internal/dataplane/balance/sampler_test.go
@@ -38,7 +38,7 @@
 		b := balance.New(balance.Options{Zone: "near", Mechanisms: mechanism.All()})
 		choice, _ := pick(b, now, "", all[0])
 		fast := report(0)
-		fast.Speed = 50
+		fast.SlowdownPercent = 50
 		choice.Done(balance.Served, fast, 0, now)
 		choice, found := pick(b, now.Add(reportAge), "", all...)
 		c.Assert(found, qt.IsTrue)
--- a/internal/dataplane/hop/hop.go
+++ b/internal/dataplane/hop/hop.go
@@ -32,10 +32,10 @@
 	Due time.Duration
 	// MaxWait is how long the request may wait for a slot.
 	MaxWait time.Duration
-	// Expected is how long the instance is expected to work on the request.
-	Expected time.Duration
-	// Ordinary is how long an instance of average speed takes, as observed by the sender.
-	Ordinary time.Duration
+	// ServiceTime is how long the instance is expected to work on the request.
+	ServiceTime time.Duration
+	// MeanServiceTime is how long an instance of average speed takes, as observed by the sender.
+	MeanServiceTime time.Duration
 	// Revision is the revision of the configuration by which the sender chose the instance.
 	Revision uint64
 	// Repeatable is set when the request may run more than once.
@@ -69,7 +69,7 @@
 func (o Order) Encode() string {
 	text := strings.Join([]string{
 		o.Instance, o.CallerService, strconv.Itoa(o.Priority), strconv.Itoa(o.Value),
-		millis(o.Remaining), millis(o.Due), millis(o.MaxWait), millis(o.Expected), millis(o.Ordinary), strconv.FormatUint(o.Revision, 10),
+		millis(o.Remaining), millis(o.Due), millis(o.MaxWait), millis(o.ServiceTime), millis(o.MeanServiceTime), strconv.FormatUint(o.Revision, 10),
 		encodeBool(o.Repeatable), encodeBool(o.OnlyCandidate), strconv.Itoa(o.Repeat), encodeBool(o.Failed),
 	}, separator)
 	if o.Suspected {
@@ -87,8 +87,8 @@
 	reader := fieldReader{fields: fields[2:]}
 	order := Order{
 		Instance: fields[0], CallerService: fields[1], Priority: int(reader.number()), Value: int(reader.number()),
-		Remaining: reader.duration(), Due: reader.duration(), MaxWait: reader.duration(), Expected: reader.duration(),
-		Ordinary: reader.duration(), Revision: uint64(reader.number()), Repeatable: reader.boolean(), OnlyCandidate: reader.boolean(),
+		Remaining: reader.duration(), Due: reader.duration(), MaxWait: reader.duration(), ServiceTime: reader.duration(),
+		MeanServiceTime: reader.duration(), Revision: uint64(reader.number()), Repeatable: reader.boolean(), OnlyCandidate: reader.boolean(),
 		Repeat: reader.percent(), Failed: reader.boolean(),
 	}
 	if len(fields) > orderFields {
@@ -162,9 +162,9 @@
 	// LinkRate the rate at which the link transfers them, in KiB per second.
 	Backlog  time.Duration
 	LinkRate int
-	// Speed is the instance's execution time in percent of that of an instance of average
-	// speed (see Order.Ordinary); zero when not known.
-	Speed int
+	// SlowdownPercent is the instance's execution time in percent of that of an instance of average
+	// speed (see Order.MeanServiceTime); zero when not known.
+	SlowdownPercent int
 	// Waited is how long the request waited for a slot.
 	Waited time.Duration
 	// ColdFor is how much longer the instance counts as cold after its start; zero: it is warm.
@@ -185,7 +185,7 @@
 	return strings.Join([]string{
 		string(r.Outcome), string(r.Reason), millis(r.RetryAfter),
 		strconv.Itoa(r.Running), strconv.Itoa(r.Waiting), strconv.Itoa(r.Slots), millis(r.Execution),
-		millis(r.Backlog), strconv.Itoa(r.LinkRate), strconv.Itoa(r.Speed), millis(r.Waited), millis(r.ColdFor),
+		millis(r.Backlog), strconv.Itoa(r.LinkRate), strconv.Itoa(r.SlowdownPercent), millis(r.Waited), millis(r.ColdFor),
 		encodeBool(r.Shared),
 	}, separator)
 }
@@ -201,7 +201,7 @@
 		Outcome: Outcome(fields[0]), Reason: Reason(fields[1]), RetryAfter: reader.duration(),
 		Running: int(reader.number()), Waiting: int(reader.number()), Slots: int(reader.number()),
 		Execution: reader.duration(), Backlog: reader.duration(), LinkRate: int(reader.number()),
-		Speed: int(reader.number()), Waited: reader.duration(), ColdFor: reader.duration(),
+		SlowdownPercent: int(reader.number()), Waited: reader.duration(), ColdFor: reader.duration(),
 		Shared: reader.boolean(),
 	}
 	switch report.Outcome {
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -209,7 +209,7 @@
 		"reason": string(delivery.Report.Reason), "priority": order.Priority, "value": order.Value,
 		"ms": time.Since(request.Arrived).Milliseconds(), "left_ms": (order.Remaining - time.Since(request.Arrived)).Milliseconds(),
 		"may_wait_ms": order.MaxWait.Milliseconds(), "due_ms": order.Due.Milliseconds(),
-		"expected_ms": order.Expected.Milliseconds(), "wait_ms": delivery.Report.RetryAfter.Milliseconds(), "running": delivery.Report.Running,
+		"expected_ms": order.ServiceTime.Milliseconds(), "wait_ms": delivery.Report.RetryAfter.Milliseconds(), "running": delivery.Report.Running,
 		"waiting": delivery.Report.Waiting, "slots": delivery.Report.Slots, "sender_revision": order.Revision,
 	})
 	if delivery.Err != nil {
@@ -301,8 +301,8 @@
 func (p *Proxy) ticketFor(request *message.Request, order hop.Order) queue.Ticket {
 	ticket := queue.Ticket{
 		Priority: order.Priority, Value: queue.Value(order.Value), Due: request.Arrived.Add(order.Due),
-		LatestStart: request.Arrived.Add(order.Remaining - order.Expected),
-		MaxWait:     order.MaxWait, Expected: order.Expected, Length: order.Expected, OnlyCandidate: order.OnlyCandidate,
+		LatestStart: request.Arrived.Add(order.Remaining - order.ServiceTime),
+		MaxWait:     order.MaxWait, Expected: order.ServiceTime, Length: order.ServiceTime, OnlyCandidate: order.OnlyCandidate,
 	}
 	enabled := p.options.Mechanisms
 	if !enabled.ValueOrder {
@@ -343,7 +343,7 @@
 	const kibibyte = 1024
 	return hop.Report{
 		Outcome: outcome, Reason: reason, Running: usage.Running, Waiting: usage.Waiting, Slots: usage.Slots,
-		Backlog: p.link.Backlog(), LinkRate: int(p.link.Rate() / kibibyte), Speed: p.speed.hundredths(),
+		Backlog: p.link.Backlog(), LinkRate: int(p.link.Rate() / kibibyte), SlowdownPercent: p.speed.hundredths(),
 		ColdFor: p.cold.limit.ColdFor(time.Now()),
 	}
 }
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -153,7 +153,7 @@
 	answer.Body, answer.Length = body, int64(len(body))
 	execution := time.Since(started)
 	if answer.Status < http.StatusMultipleChoices {
-		p.speed.record(execution, order.Ordinary)
+		p.speed.record(execution, order.MeanServiceTime)
 	}
 	report := p.report(hop.Answered, hop.ReasonNone)
 	report.Execution = execution
--- a/internal/dataplane/outbound/order.go
+++ b/internal/dataplane/outbound/order.go
@@ -34,21 +34,21 @@
 	}
 	due, value := e.due(choice, remaining)
 	return hop.Order{
-		Instance:      choice.Instance.Name,
-		CallerService: e.proxy.options.Service,
-		Priority:      e.route.Priority,
-		Value:         int(value),
-		Remaining:     remaining,
-		Due:           due,
-		MaxWait:       e.maxWait(due, remaining),
-		Expected:      min(time.Duration(startShare*float64(choice.ServiceTime)), remaining/2),
-		Ordinary:      choice.MeanServiceTime,
-		Revision:      uint64(e.current.Version().Revision),
-		Repeatable:    e.route.MayRepeat(e.request.Method),
-		OnlyCandidate: !e.hasUntriedExcept(choice.Instance.Name),
-		Repeat:        e.repeatHundredths(),
-		Failed:        e.nextKind == repeats.AfterFailure,
-		Suspected:     e.suspicion.standing == suspects.Suspected,
+		Instance:        choice.Instance.Name,
+		CallerService:   e.proxy.options.Service,
+		Priority:        e.route.Priority,
+		Value:           int(value),
+		Remaining:       remaining,
+		Due:             due,
+		MaxWait:         e.maxWait(due, remaining),
+		ServiceTime:     min(time.Duration(startShare*float64(choice.ServiceTime)), remaining/2),
+		MeanServiceTime: choice.MeanServiceTime,
+		Revision:        uint64(e.current.Version().Revision),
+		Repeatable:      e.route.MayRepeat(e.request.Method),
+		OnlyCandidate:   !e.hasUntriedExcept(choice.Instance.Name),
+		Repeat:          e.repeatHundredths(),
+		Failed:          e.nextKind == repeats.AfterFailure,
+		Suspected:       e.suspicion.standing == suspects.Suspected,
 	}
 }
 
