--- a/internal/dataplane/hop/hop.go
+++ b/internal/dataplane/hop/hop.go
@@ -23,8 +23,8 @@
 	// CallerService is the service whose sidecar sent the request.
 	CallerService string
 	Priority      int
-	// Value ranks what the response is still worth to its caller; 0 is the most.
-	Value int
+	// ValueRank ranks what the response is still worth to its caller; 0 is the most.
+	ValueRank int
 	// Remaining is the time to the request's deadline when it was sent.
 	Remaining time.Duration
 	// Due is how long the request may wait and still be worth the most; requests of one
@@ -42,18 +42,18 @@
 	Repeatable bool
 	// OnlyCandidate is set when the request cannot be sent to any other instance.
 	OnlyCandidate bool
-	// Repeat is the probability, in percent, that this send counts as a repeat. It is Certain
+	// RepeatPercent is the probability, in percent, that this send counts as a repeat. It is CertainRepeat
 	// when an instance already received the request; otherwise it is the probability that the
 	// request was sent by the run of a repeated request.
-	Repeat int
+	RepeatPercent int
 	// Failed is set when an instance already answered that the request failed.
 	Failed bool
 	// Suspected is set when the request may have crashed an instance before.
 	Suspected bool
 }
 
-// Certain is the value of Repeat for a send that is a repeat for sure.
-const Certain = 100
+// CertainRepeat is the value of RepeatPercent for a send that is a repeat for sure.
+const CertainRepeat = 100
 
 // orderFields is the number of fields of an order. A suspected request has one more; all other
 // orders omit it, so that sidecars of earlier versions can read them.
@@ -68,9 +68,9 @@
 // Encode returns the text of the field.
 func (o Order) Encode() string {
 	text := strings.Join([]string{
-		o.Instance, o.CallerService, strconv.Itoa(o.Priority), strconv.Itoa(o.Value),
+		o.Instance, o.CallerService, strconv.Itoa(o.Priority), strconv.Itoa(o.ValueRank),
 		millis(o.Remaining), millis(o.Due), millis(o.MaxWait), millis(o.ServiceTime), millis(o.MeanServiceTime), strconv.FormatUint(o.Revision, 10),
-		encodeBool(o.Repeatable), encodeBool(o.OnlyCandidate), strconv.Itoa(o.Repeat), encodeBool(o.Failed),
+		encodeBool(o.Repeatable), encodeBool(o.OnlyCandidate), strconv.Itoa(o.RepeatPercent), encodeBool(o.Failed),
 	}, separator)
 	if o.Suspected {
 		text += separator + encodeBool(true)
@@ -86,10 +86,10 @@
 	}
 	reader := fieldReader{fields: fields[2:]}
 	order := Order{
-		Instance: fields[0], CallerService: fields[1], Priority: int(reader.number()), Value: int(reader.number()),
+		Instance: fields[0], CallerService: fields[1], Priority: int(reader.number()), ValueRank: int(reader.number()),
 		Remaining: reader.duration(), Due: reader.duration(), MaxWait: reader.duration(), ServiceTime: reader.duration(),
 		MeanServiceTime: reader.duration(), Revision: uint64(reader.number()), Repeatable: reader.boolean(), OnlyCandidate: reader.boolean(),
-		Repeat: reader.percent(), Failed: reader.boolean(),
+		RepeatPercent: reader.percent(), Failed: reader.boolean(),
 	}
 	if len(fields) > orderFields {
 		order.Suspected = reader.boolean()
@@ -169,9 +169,9 @@
 	Waited time.Duration
 	// ColdFor is how much longer the instance counts as cold after its start; zero: it is warm.
 	ColdFor time.Duration
-	// Shared is set when the sidecars of all services send requests of this route: external
+	// ExternalCallers is set when the sidecars of all services send requests of this route: external
 	// callers send them, not instances.
-	Shared bool
+	ExternalCallers bool
 }
 
 const reportFields = 13
@@ -186,7 +186,7 @@
 		string(r.Outcome), string(r.Reason), millis(r.RetryAfter),
 		strconv.Itoa(r.Running), strconv.Itoa(r.Waiting), strconv.Itoa(r.Slots), millis(r.Execution),
 		millis(r.Backlog), strconv.Itoa(r.LinkRate), strconv.Itoa(r.SlowdownPercent), millis(r.Waited), millis(r.ColdFor),
-		encodeBool(r.Shared),
+		encodeBool(r.ExternalCallers),
 	}, separator)
 }
 
@@ -202,7 +202,7 @@
 		Running: int(reader.number()), Waiting: int(reader.number()), Slots: int(reader.number()),
 		Execution: reader.duration(), Backlog: reader.duration(), LinkRate: int(reader.number()),
 		SlowdownPercent: int(reader.number()), Waited: reader.duration(), ColdFor: reader.duration(),
-		Shared: reader.boolean(),
+		ExternalCallers: reader.boolean(),
 	}
 	switch report.Outcome {
 	case Answered, Refused, Rejected, Unknown:
@@ -239,10 +239,10 @@
 	return text == textTrue
 }
 
-// percent reads a probability in percent, from 0 to Certain.
+// percent reads a probability in percent, from 0 to CertainRepeat.
 func (r *fieldReader) percent() int {
 	value := r.number()
-	if (value < 0 || value > Certain) && r.err == nil {
+	if (value < 0 || value > CertainRepeat) && r.err == nil {
 		r.err = eris.Errorf("%s: %d is not a probability in percent", Header, value)
 	}
 	return int(value)
--- a/internal/dataplane/hop/hop_test.go
+++ b/internal/dataplane/hop/hop_test.go
@@ -13,9 +13,9 @@
 func TestOrderRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	order := hop.Order{
-		Instance: "i-1", CallerService: "edge", Priority: 3, Value: 9,
+		Instance: "i-1", CallerService: "edge", Priority: 3, ValueRank: 9,
 		Remaining: 4 * time.Millisecond, Due: 5 * time.Millisecond, MaxWait: 6 * time.Millisecond,
-		ServiceTime: 7 * time.Millisecond, MeanServiceTime: 10 * time.Millisecond, Revision: 8, Repeatable: true, OnlyCandidate: true, Repeat: 11, Failed: true,
+		ServiceTime: 7 * time.Millisecond, MeanServiceTime: 10 * time.Millisecond, Revision: 8, Repeatable: true, OnlyCandidate: true, RepeatPercent: 11, Failed: true,
 	}
 	for _, order.Suspected = range []bool{false, true} {
 		decoded, err := hop.DecodeOrder(order.Encode())
@@ -30,7 +30,7 @@
 	report := hop.Report{
 		Outcome: hop.Rejected, Reason: hop.ReasonOverloaded, RetryAfter: 1 * time.Millisecond,
 		Running: 2, Waiting: 3, Slots: 4, Execution: 5 * time.Millisecond, Backlog: 6 * time.Millisecond, LinkRate: 7, SlowdownPercent: 8, Waited: 9 * time.Millisecond,
-		ColdFor: 10 * time.Millisecond, Shared: true,
+		ColdFor: 10 * time.Millisecond, ExternalCallers: true,
 	}
 	decoded, err := hop.DecodeReport(report.Encode())
 	c.Assert(err, qt.IsNil)
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -189,7 +189,7 @@
 // Deliver sends a request to the instance. A request that it refuses was not executed.
 func (p *Proxy) Deliver(ctx context.Context, request *message.Request, order hop.Order) Delivery {
 	delivery := p.deliver(ctx, request, order)
-	delivery.Report.Shared = p.isShared(request, order)
+	delivery.Report.ExternalCallers = p.isShared(request, order)
 	p.metrics.observeDelivery(delivery.Report)
 	p.log(request, order, delivery)
 	return delivery
@@ -206,7 +206,7 @@
 	}
 	entry = entry.WithFields(logrus.Fields{
 		"request": request.ID, "instance": order.Instance, "outcome": string(delivery.Report.Outcome),
-		"reason": string(delivery.Report.Reason), "priority": order.Priority, "value": order.Value,
+		"reason": string(delivery.Report.Reason), "priority": order.Priority, "value": order.ValueRank,
 		"ms": time.Since(request.Arrived).Milliseconds(), "left_ms": (order.Remaining - time.Since(request.Arrived)).Milliseconds(),
 		"may_wait_ms": order.MaxWait.Milliseconds(), "due_ms": order.Due.Milliseconds(),
 		"expected_ms": order.ServiceTime.Milliseconds(), "wait_ms": delivery.Report.RetryAfter.Milliseconds(), "running": delivery.Report.Running,
@@ -241,7 +241,7 @@
 // deliverAdmitted waits for a slot and sends the request.
 func (p *Proxy) deliverAdmitted(ctx context.Context, request *message.Request, order hop.Order) Delivery {
 	deadline := request.Arrived.Add(order.Remaining)
-	if order.Repeat >= hop.Certain && !p.options.Budget.Fits(repetitionOf(order), time.Now()) {
+	if order.RepeatPercent >= hop.CertainRepeat && !p.options.Budget.Fits(repetitionOf(order), time.Now()) {
 		return p.refuse(hop.ReasonRepeats, 0)
 	}
 	asked := time.Now()
@@ -283,7 +283,7 @@
 
 // repetitionOf returns what the sender states about the request being a repeat.
 func repetitionOf(order hop.Order) budget.Repetition {
-	return budget.Repetition{Probability: float64(order.Repeat) / hop.Certain, Failed: order.Failed}
+	return budget.Repetition{Probability: float64(order.RepeatPercent) / hop.CertainRepeat, Failed: order.Failed}
 }
 
 // isShared records the service at whose node a request starts, and reports whether the
@@ -300,7 +300,7 @@
 // ticketFor returns the ticket with which the request queues for a slot.
 func (p *Proxy) ticketFor(request *message.Request, order hop.Order) queue.Ticket {
 	ticket := queue.Ticket{
-		Priority: order.Priority, Value: queue.Value(order.Value), Due: request.Arrived.Add(order.Due),
+		Priority: order.Priority, Value: queue.Value(order.ValueRank), Due: request.Arrived.Add(order.Due),
 		LatestStart: request.Arrived.Add(order.Remaining - order.ServiceTime),
 		MaxWait:     order.MaxWait, Expected: order.ServiceTime, Length: order.ServiceTime, OnlyCandidate: order.OnlyCandidate,
 	}
--- a/internal/dataplane/outbound/feedback.go
+++ b/internal/dataplane/outbound/feedback.go
@@ -14,7 +14,7 @@
 	var report *hop.Report
 	if sent.reported {
 		report = &sent.report
-		if report.Shared {
+		if report.ExternalCallers {
 			e.proxy.externalRoutes.add(e.route.Name)
 		}
 	}
--- a/internal/dataplane/outbound/order.go
+++ b/internal/dataplane/outbound/order.go
@@ -37,7 +37,7 @@
 		Instance:        choice.Instance.Name,
 		CallerService:   e.proxy.options.Service,
 		Priority:        e.route.Priority,
-		Value:           int(value),
+		ValueRank:       int(value),
 		Remaining:       remaining,
 		Due:             due,
 		MaxWait:         e.maxWait(due, remaining),
@@ -46,7 +46,7 @@
 		Revision:        uint64(e.current.Version().Revision),
 		Repeatable:      e.route.MayRepeat(e.request.Method),
 		OnlyCandidate:   !e.hasUntriedExcept(choice.Instance.Name),
-		Repeat:          e.repeatHundredths(),
+		RepeatPercent:   e.repeatHundredths(),
 		Failed:          e.nextKind == repeats.AfterFailure,
 		Suspected:       e.suspicion.standing == suspects.Suspected,
 	}
--- a/internal/dataplane/outbound/repeat.go
+++ b/internal/dataplane/outbound/repeat.go
@@ -48,9 +48,9 @@
 // repeat.
 func (e *exchange) repeatHundredths() int {
 	if e.arrivals > 0 {
-		return hop.Certain
+		return hop.CertainRepeat
 	}
-	return min(int(math.Round(e.repeatProbability*hop.Certain)), hop.Certain-1)
+	return min(int(math.Round(e.repeatProbability*hop.CertainRepeat)), hop.CertainRepeat-1)
 }
 
 // recordArrival records a send that reached an instance, or may have.
