--- a/internal/distribution/fleet_changes.go
+++ b/internal/distribution/fleet_changes.go
@@ -72,13 +72,13 @@
 		return
 	}
 	e.act(FleetChangesLearned{Changes: added})
-	e.sendFleetChanges(added, e.overlay.establishedIDs(func(l *link) bool { return l.id != from && l.takesChanges })...)
+	e.sendFleetChanges(added, e.overlay.establishedIDs(func(l *link) bool { return l.id != from && l.acceptsChanges })...)
 }
 
 // sendRecentChanges sends the remembered changes on a new link: its peer may have been starting,
 // or partitioned, when they were flooded.
 func (e *Engine) sendRecentChanges(l *link) {
-	if !l.takesChanges {
+	if !l.acceptsChanges {
 		return
 	}
 	e.changes.expire(e.now)
--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -39,8 +39,8 @@
 	address     string
 	outgoing    bool
 	probe       bool
-	// takesChanges is set if the peer accepts changes of instances ahead of documents.
-	takesChanges bool
+	// acceptsChanges is set if the peer accepts changes of instances ahead of documents.
+	acceptsChanges bool
 	// takesOrigins is set if the peer accepts the origins of configurations.
 	takesOrigins bool
 	phase        phase
@@ -252,7 +252,7 @@
 	l.lastSent = e.now
 	l.digestAt = e.now.Add(e.jittered(e.timing.DigestInterval))
 	l.held = hello.Held
-	l.takesChanges = hello.Purpose.AcceptsChanges()
+	l.acceptsChanges = hello.Purpose.AcceptsChanges()
 	l.takesOrigins = hello.Purpose.AcceptsOrigins()
 	e.setPeerInterval(l, hello.Interval)
 	e.start.setProbeResult(l.node, probeAnswered)
