--- a/internal/dataplane/balance/instance_state.go
+++ b/internal/dataplane/balance/instance_state.go
@@ -104,7 +104,7 @@
 // transferTime returns how long a body takes to the instance, including its wait for the
 // link.
 func (s *instanceState) transferTime(bytes int, now time.Time) time.Duration {
-	if s.linkRate <= 0 || bytes < transfer.LargeBody {
+	if s.linkRate <= 0 || bytes < transfer.MinQueuedBytes {
 		return 0
 	}
 	own := time.Duration(float64(bytes) / s.linkRate * float64(time.Second))
--- a/internal/dataplane/inbound/admit.go
+++ b/internal/dataplane/inbound/admit.go
@@ -29,7 +29,7 @@
 	if reason := p.checkTarget(order); reason != hop.ReasonNone {
 		return p.refuseAdmission(request, p.refuse(reason, 0))
 	}
-	if bytes < transfer.LargeBody {
+	if bytes < transfer.MinQueuedBytes {
 		return p.admitSmall(request, order)
 	}
 	grant, refusal, wait := p.link.Acquire(ctx, p.linkTicket(request, order, bytes), bytes)
--- a/internal/dataplane/outbound/sidecar_pools.go
+++ b/internal/dataplane/outbound/sidecar_pools.go
@@ -136,7 +136,7 @@
 	response, err := n.poolOf(n.nodeAddress(instance)).Do(ctx, &client.Request{
 		Method: request.Method, Target: request.Target, Host: request.Host,
 		Header: header, Body: request.Body, ID: request.ID,
-		AskFirst:     n.askFirst && len(request.Body) >= transfer.AskedBody,
+		AskFirst:     n.askFirst && len(request.Body) >= transfer.MinAdmissionBytes,
 		SilenceLimit: silenceLimitOf(order),
 	})
 	if err != nil {
--- a/internal/dataplane/transfer/gate.go
+++ b/internal/dataplane/transfer/gate.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// AskedBody is the size in bytes from which the sender of a body asks for admission
+	// MinAdmissionBytes is the size in bytes from which the sender of a body asks for admission
 	// first. Sending a smaller body costs the link no more than asking.
-	AskedBody = 1 << 10
-	// LargeBody is the size in bytes from which a body waits until the link is free.
-	LargeBody = 16 << 10
+	MinAdmissionBytes = 1 << 10
+	// MinQueuedBytes is the size in bytes from which a body waits until the link is free.
+	MinQueuedBytes = 16 << 10
 	// bodyShare is the share of a link's capacity that large bodies may use. The rest is
 	// left for calls, the connections between nodes and the instance's own traffic.
 	bodyShare = 0.93
