--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -82,18 +82,18 @@
 	a.options = options
 }
 
-// Listed records how many instances the node lists now.
-func (a *Accounts) Listed(instances int, now time.Time) {
+// SetInstanceCount records how many instances the node lists now.
+func (a *Accounts) SetInstanceCount(instances int, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.listed.advance(windowOf(now, a.options.Window))
 	a.listed.raiseTo(float64(instances))
 }
 
-// Request records a request for a service that starts at this node. isCall is set if the
+// RecordRequest records a request for a service that starts at this node. isCall is set if the
 // local instance sent it or may have sent it. The result is the probability, from 0 to 1,
 // that the request is a call made by a repeated run.
-func (a *Accounts) Request(service string, isCall bool, now time.Time) (inherited float64) {
+func (a *Accounts) RecordRequest(service string, isCall bool, now time.Time) (inherited float64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	found := a.accountOf(service, now)
@@ -108,9 +108,9 @@
 	return inherited
 }
 
-// Repeat reports whether the node's part of the bound allows a further send of a request to
+// ReserveRepeat reports whether the node's part of the bound allows a further send of a request to
 // a service, and counts the send if it does.
-func (a *Accounts) Repeat(service string, now time.Time) bool {
+func (a *Accounts) ReserveRepeat(service string, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	found := a.accountOf(service, now)
@@ -121,8 +121,8 @@
 	return true
 }
 
-// Return returns a repeat that reached no instance to the budget.
-func (a *Accounts) Return(service string, now time.Time) {
+// ReturnRepeat returns a repeat that reached no instance to the budget.
+func (a *Accounts) ReturnRepeat(service string, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.accountOf(service, now).repeats.add(-1)
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -21,7 +21,7 @@
 
 // spend makes repeats until no more are allowed, and returns their number.
 func spend(a *budget.Accounts, now time.Time) (repeats int) {
-	for a.Repeat(service, now) {
+	for a.ReserveRepeat(service, now) {
 		repeats++
 	}
 	return repeats
@@ -31,8 +31,8 @@
 // the given number of nodes.
 func warm(options budget.Options, nodes int, now time.Time) *budget.Accounts {
 	a := budget.New(options)
-	a.Request(service, false, now.Add(-3*options.Window))
-	a.Listed(nodes, now)
+	a.RecordRequest(service, false, now.Add(-3*options.Window))
+	a.SetInstanceCount(nodes, now)
 	return a
 }
 
@@ -44,7 +44,7 @@
 	for node := range 12 {
 		a := warm(bound, 12, now)
 		for range node * 20 {
-			a.Request(service, false, now)
+			a.RecordRequest(service, false, now)
 			requests++
 		}
 		repeats += spend(a, now)
@@ -59,12 +59,12 @@
 	now := time.Now()
 	a := warm(bound, 12, now)
 	for range 100 {
-		a.Request(service, false, now)
+		a.RecordRequest(service, false, now)
 	}
 	first := spend(a, now)
 	c.Check(first > 0, qt.IsTrue)
 	c.Check(spend(a, now.Add(5*time.Second)), qt.Equals, 0)
-	a.Listed(12, now.Add(time.Hour))
+	a.SetInstanceCount(12, now.Add(time.Hour))
 	c.Check(spend(a, now.Add(time.Hour)), qt.Equals, int(steady*bound.Slack/12))
 }
 
@@ -79,7 +79,7 @@
 		c.Check(spend(a, now.Add(bound.Window-time.Millisecond)), qt.Equals, 0)
 		b := budget.New(bound)
 		for range 100 {
-			b.Request(service, false, now)
+			b.RecordRequest(service, false, now)
 		}
 		c.Check(spend(b, now.Add(bound.Window+time.Millisecond)), qt.Equals, int(steady*bound.Slack))
 	}
@@ -101,8 +101,8 @@
 			options := bound
 			options.FirstStart = row.firstStart
 			a := budget.New(options)
-			a.Listed(1, now)
-			a.Request(service, false, now)
+			a.SetInstanceCount(1, now)
+			a.RecordRequest(service, false, now)
 			a.SetOptions(bound)
 			c.Check(spend(a, now.Add(bound.Window-time.Second)), qt.Equals, row.want)
 			c.Check(spend(a, now.Add(3*bound.Window)), qt.Equals, int(steady*bound.Slack))
@@ -115,7 +115,7 @@
 func TestMissingEntriesDoNotAddSlack(t *testing.T) {
 	now := time.Now()
 	a := warm(bound, 12, now)
-	a.Listed(1, now.Add(time.Second))
+	a.SetInstanceCount(1, now.Add(time.Second))
 	qt.Check(t, spend(a, now.Add(time.Second)), qt.Equals, int(steady*bound.Slack/12))
 }
 
@@ -123,7 +123,7 @@
 	now := time.Now()
 	a := warm(bound, 12, now)
 	first := spend(a, now)
-	a.Return(service, now)
+	a.ReturnRepeat(service, now)
 	qt.Check(t, first > 0, qt.IsTrue)
 	qt.Check(t, spend(a, now), qt.Equals, 1)
 }
@@ -138,7 +138,7 @@
 	for range 10 {
 		run, admitted := a.Begin(budget.Repetition{}, now)
 		c.Assert(admitted, qt.IsTrue)
-		c.Assert(a.Request(service, true, now), qt.Equals, 0.0)
+		c.Assert(a.RecordRequest(service, true, now), qt.Equals, 0.0)
 		run.End()
 	}
 	before, allowed := a.State(service, now)
@@ -147,7 +147,7 @@
 	for a.Fits(repeated, now) {
 		run, admitted := a.Begin(repeated, now)
 		c.Assert(admitted, qt.IsTrue)
-		c.Check(a.Request(service, true, now), qt.Equals, 0.99) // no other run is in progress
+		c.Check(a.RecordRequest(service, true, now), qt.Equals, 0.99) // no other run is in progress
 		run.End()
 		repeats++
 	}
@@ -170,11 +170,11 @@
 		_, _ = a.Begin(budget.Repetition{}, now)
 	}
 	run, _ := a.Begin(repeated, now)
-	c.Check(a.Request(service, true, now), qt.Equals, 0.25)
-	c.Check(a.Request(service, false, now), qt.Equals, 0.0)
+	c.Check(a.RecordRequest(service, true, now), qt.Equals, 0.25)
+	c.Check(a.RecordRequest(service, false, now), qt.Equals, 0.0)
 	run.End()
 	run.End()
-	c.Check(a.Request(service, true, now), qt.Equals, 0.0)
+	c.Check(a.RecordRequest(service, true, now), qt.Equals, 0.0)
 }
 
 func TestSetOptions(t *testing.T) {
--- a/internal/dataplane/budget/fleet_test.go
+++ b/internal/dataplane/budget/fleet_test.go
@@ -132,8 +132,8 @@
 // if a repeated run does. The nodes do not know ofRepeat; it is only used to count repeats.
 func (f *fleet) request(node *fleetNode, service int, isCall, ofRepeat bool, done func(ok bool)) {
 	f.seen[service].Requests = append(f.seen[service].Requests, f.now.Sub(f.began))
-	node.accounts.Listed(f.listed(), f.now)
-	inherited := node.accounts.Request(graph[service], isCall, f.now)
+	node.accounts.SetInstanceCount(f.listed(), f.now)
+	inherited := node.accounts.RecordRequest(graph[service], isCall, f.now)
 	f.send(node, service, 0, budget.Repetition{Probability: inherited}, ofRepeat, done)
 }
 
@@ -143,7 +143,7 @@
 	at := f.nodesOf[service][f.random.IntN(len(f.nodesOf[service]))]
 	repeat := ofRepeat || sends > 0
 	if sends > 0 && !at.accounts.Fits(believed, f.now) { // refused by the instance's node
-		node.accounts.Return(graph[service], f.now)
+		node.accounts.ReturnRepeat(graph[service], f.now)
 		done(false)
 		return
 	}
@@ -152,7 +152,7 @@
 		f.repeats++
 	}
 	retry := func(failed bool) {
-		if sends+1 < maxSends && node.accounts.Repeat(graph[service], f.now) {
+		if sends+1 < maxSends && node.accounts.ReserveRepeat(graph[service], f.now) {
 			f.send(node, service, sends+1, budget.Repetition{Probability: 1, Failed: failed}, ofRepeat, done)
 			return
 		}
--- a/internal/dataplane/outbound/repeat.go
+++ b/internal/dataplane/outbound/repeat.go
@@ -13,15 +13,15 @@
 func (e *exchange) registerRequest() {
 	now := time.Now()
 	accounts := e.proxy.options.Budget
-	accounts.Listed(e.current.InstanceCount(), now)
-	e.repeatProbability = accounts.Request(e.service, !e.proxy.externalRoutes.has(e.route.Name), now)
+	accounts.SetInstanceCount(e.current.InstanceCount(), now)
+	e.repeatProbability = accounts.RecordRequest(e.service, !e.proxy.externalRoutes.has(e.route.Name), now)
 }
 
 // reserveRepeat takes a repeat from the budget, if that allows one. It is given back at the end
 // if it reached no instance.
 func (e *exchange) reserveRepeat() bool {
 	now := time.Now()
-	if !e.repeatReserved && !e.proxy.options.Budget.Repeat(e.service, now) {
+	if !e.repeatReserved && !e.proxy.options.Budget.ReserveRepeat(e.service, now) {
 		e.proxy.metrics.budgetEmpty.Inc()
 		e.proxy.repeatLedger.Stopped(e.service, now)
 		return false
@@ -34,7 +34,7 @@
 func (e *exchange) returnRepeat() {
 	if e.repeatReserved {
 		e.repeatReserved = false
-		e.proxy.options.Budget.Return(e.service, time.Now())
+		e.proxy.options.Budget.ReturnRepeat(e.service, time.Now())
 	}
 }
 
