--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -66,7 +66,7 @@
 		}
 		lost := int64(max(row.Lost(), 1))
 		_, _ = fmt.Fprintf(table, "\t%d\t%d\t%d\t%d\t%s\t%s\n", row.WaitingMillis/lost, row.InstanceMillis/lost,
-			row.BetweenMillis/lost, row.AgainMillis/lost, topCounts(row.Reasons), topCounts(row.Instances))
+			row.BetweenNodesMillis/lost, row.EarlierSendsMillis/lost, topCounts(row.Reasons), topCounts(row.Instances))
 	}
 	_ = table.Flush()
 	if len(report.Rows) > 0 {
--- a/internal/dataplane/losses/losses.go
+++ b/internal/dataplane/losses/losses.go
@@ -41,9 +41,9 @@
 // Times is how the time of a request was spent.
 type Times struct {
 	// Waiting is the wait time for a slot or a link, Instance the processing time at the
-	// instance, and Between the time between nodes, each for the last send. Again is the
+	// instance, and BetweenNodes the time between nodes, each for the last send. EarlierSends is the
 	// time of all earlier sends.
-	Waiting, Instance, Between, Again time.Duration
+	Waiting, Instance, BetweenNodes, EarlierSends time.Duration
 }
 
 // Request is the result of one request.
@@ -140,8 +140,8 @@
 	}
 	s.times.Waiting += request.Times.Waiting
 	s.times.Instance += request.Times.Instance
-	s.times.Between += request.Times.Between
-	s.times.Again += request.Times.Again
+	s.times.BetweenNodes += request.Times.BetweenNodes
+	s.times.EarlierSends += request.Times.EarlierSends
 }
 
 // lost returns the number of requests that did not end in time.
@@ -188,7 +188,7 @@
 		FieldRoute: route, FieldService: found.service, FieldSecond: l.second.UTC().Format(SecondFormat),
 		FieldReasons: formatCounts(found.reasons), FieldInstances: formatCounts(found.instances),
 		FieldWaiting: found.times.Waiting.Milliseconds(), FieldInstance: found.times.Instance.Milliseconds(),
-		FieldBetween: found.times.Between.Milliseconds(), FieldAgain: found.times.Again.Milliseconds(),
+		FieldBetween: found.times.BetweenNodes.Milliseconds(), FieldAgain: found.times.EarlierSends.Milliseconds(),
 	}
 	for ending, count := range found.endings {
 		fields[string(ending)] = count
--- a/internal/dataplane/outbound/loss.go
+++ b/internal/dataplane/outbound/loss.go
@@ -13,8 +13,8 @@
 	ending := e.ending(outcome, status, duration)
 	times := losses.Times{Waiting: e.lastReport.Waited, Instance: e.lastReport.Execution}
 	if !e.lastSentAt.IsZero() {
-		times.Again = max(e.lastSentAt.Sub(e.request.Arrived), 0)
-		times.Between = max(now.Sub(e.lastSentAt)-times.Waiting-times.Instance, 0)
+		times.EarlierSends = max(e.lastSentAt.Sub(e.request.Arrived), 0)
+		times.BetweenNodes = max(now.Sub(e.lastSentAt)-times.Waiting-times.Instance, 0)
 	}
 	e.proxy.losses.Note(losses.Request{
 		Route: e.route.Name, Service: e.service, Ending: ending, Reason: string(e.lastReason), Instance: e.lastInstance, Times: times,
--- a/internal/dataplane/outbound/metrics.go
+++ b/internal/dataplane/outbound/metrics.go
@@ -96,8 +96,8 @@
 	m.losses.WithLabelValues(service, string(ending)).Inc()
 	m.lostTime.WithLabelValues("waiting").Observe(times.Waiting.Seconds())
 	m.lostTime.WithLabelValues("instance").Observe(times.Instance.Seconds())
-	m.lostTime.WithLabelValues("between").Observe(times.Between.Seconds())
-	m.lostTime.WithLabelValues("before").Observe(times.Again.Seconds())
+	m.lostTime.WithLabelValues("between").Observe(times.BetweenNodes.Seconds())
+	m.lostTime.WithLabelValues("before").Observe(times.EarlierSends.Seconds())
 }
 
 func (m *metrics) arrived(service string, kind repeats.Kind) {
--- a/internal/lossreport/lossreport.go
+++ b/internal/lossreport/lossreport.go
@@ -30,10 +30,10 @@
 	Instances map[string]int `json:"instances"`
 	// The total time of the requests that did not end in time, by where it was spent; see
 	// losses.Times.
-	WaitingMillis  int64 `json:"waiting_ms"`
-	InstanceMillis int64 `json:"instance_ms"`
-	BetweenMillis  int64 `json:"between_ms"`
-	AgainMillis    int64 `json:"again_ms"`
+	WaitingMillis      int64 `json:"waiting_ms"`
+	InstanceMillis     int64 `json:"instance_ms"`
+	BetweenNodesMillis int64 `json:"between_ms"`
+	EarlierSendsMillis int64 `json:"again_ms"`
 }
 
 // Lost returns the number of requests that did not end in time.
@@ -133,8 +133,8 @@
 	addCounts(r.Instances, parsed.Instances)
 	r.WaitingMillis += parsed.Waiting
 	r.InstanceMillis += parsed.Instance
-	r.BetweenMillis += parsed.Between
-	r.AgainMillis += parsed.Again
+	r.BetweenNodesMillis += parsed.Between
+	r.EarlierSendsMillis += parsed.Again
 }
 
 // addCounts adds comma-separated "name:count" pairs to the counts.
--- a/internal/lossreport/lossreport_test.go
+++ b/internal/lossreport/lossreport_test.go
@@ -30,7 +30,7 @@
 	c.Check(row.Endings, qt.DeepEquals, map[losses.Ending]int{losses.InTime: 8, losses.Late: 2, losses.Refused: 4})
 	c.Check(row.Instances, qt.DeepEquals, map[string]int{"i-1": 3, "i-2": 3})
 	c.Check(row.Reasons, qt.DeepEquals, map[string]int{"overloaded": 4})
-	c.Check([]int64{row.WaitingMillis, row.InstanceMillis, row.BetweenMillis, row.AgainMillis}, qt.DeepEquals, []int64{100, 100, 6, 5})
+	c.Check([]int64{row.WaitingMillis, row.InstanceMillis, row.BetweenNodesMillis, row.EarlierSendsMillis}, qt.DeepEquals, []int64{100, 100, 6, 5})
 	worst := report.Worst(1)
 	c.Assert(worst, qt.HasLen, 1)
 	c.Check(worst[0].Route, qt.Equals, "r")
