--- a/internal/dataplane/client/client.go
+++ b/internal/dataplane/client/client.go
@@ -56,16 +56,16 @@
 	Body                 []byte
 	// ID is the value that the response must repeat in the field IDHeader.
 	ID string
-	// MaxRest is how long the connection may have been idle. Servers drop idle connections
+	// MaxIdle is how long the connection may have been idle. Servers drop idle connections
 	// without notice, and a request sent on a dropped one counts as possibly run. Zero: as
 	// long as the server keeps idle connections.
-	MaxRest time.Duration
+	MaxIdle time.Duration
 	// SilenceLimit is how long a server that reports progress may send nothing for a
 	// completely sent request before the request fails; zero: until the context ends.
 	SilenceLimit time.Duration
-	// AskFirst sends the body only after a 100 (Continue) response. If the server sends a
+	// ExpectContinue sends the body only after a 100 (Continue) response. If the server sends a
 	// final response instead, no part of the body has been sent.
-	AskFirst bool
+	ExpectContinue bool
 }
 
 // Response is a response whose body is read from Body. Close must be called.
@@ -91,9 +91,9 @@
 	ConnectTimeout time.Duration
 	// IdleTimeout is how long a connection may be idle when its server names no timeout.
 	IdleTimeout time.Duration
-	// RunsWholeOnly is set when the server runs a request only after it has received the
+	// RunsOnlyComplete is set when the server runs a request only after it has received the
 	// full body.
-	RunsWholeOnly bool
+	RunsOnlyComplete bool
 	// Pacer limits the rate at which bodies are sent; nil: no limit.
 	Pacer *transfer.Pacer
 	// PaceHeader is the field of a 100 (Continue) response that holds the rate at which the
@@ -103,9 +103,9 @@
 	// check is sent before the next request on an idle connection; zero: never. When the
 	// check fails, the request is not sent.
 	VerifyAfter time.Duration
-	// VerifyRested is the same for a connection that was idle for so long, even if others
+	// VerifyIdle is the same for a connection that was idle for so long, even if others
 	// received data: connections can fail one by one without being closed. Zero: never.
-	VerifyRested time.Duration
+	VerifyIdle time.Duration
 	// VerifyTimeout limits the wait for the response to a liveness check.
 	VerifyTimeout time.Duration
 	// ProgressHeader is the field by which a request with a SilenceLimit asks the server for
@@ -168,7 +168,7 @@
 // Do sends the request and returns when the header of the response has been read. The
 // error is an *Error. When the context ends, the exchange fails and its connection is closed.
 func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
-	used, err := p.take(ctx, request.MaxRest)
+	used, err := p.take(ctx, request.MaxIdle)
 	if err != nil {
 		return nil, &Error{Progress: NotSent, Err: err}
 	}
@@ -215,7 +215,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return options.VerifyAfter > 0 && now.Sub(p.lastReceipt) > options.VerifyAfter ||
-		options.VerifyRested > 0 && now.Sub(used.idleSince) > options.VerifyRested
+		options.VerifyIdle > 0 && now.Sub(used.idleSince) > options.VerifyIdle
 }
 
 func (p *Pool) recordReceipt() {
--- a/internal/dataplane/client/client_test.go
+++ b/internal/dataplane/client/client_test.go
@@ -185,7 +185,7 @@
 			c.Assert(err, qt.IsNil)
 			emulated.ForgetConnections()
 			response, err := pool.Do(context.Background(), &client.Request{
-				Method: http.MethodPost, Target: "/t", Host: "h.example", ID: "second", MaxRest: row.maxRest,
+				Method: http.MethodPost, Target: "/t", Host: "h.example", ID: "second", MaxIdle: row.maxRest,
 				Header: http.Header{instance.HeaderID: {"second"}},
 			})
 			if row.lost {
--- a/internal/dataplane/client/conn.go
+++ b/internal/dataplane/client/conn.go
@@ -99,7 +99,7 @@
 	switch {
 	case c.unsent != nil:
 		return SentPart
-	case c.writing == nil || !c.pool.options.RunsWholeOnly:
+	case c.writing == nil || !c.pool.options.RunsOnlyComplete:
 		return SentWhole
 	}
 	c.abort()
@@ -113,14 +113,14 @@
 func (c *conn) write(request *Request) *Error {
 	var head bytes.Buffer
 	encodeHead(&head, request, c.pool.options.ProgressHeader)
-	if len(request.Body) <= minConcurrentBody && !request.AskFirst {
+	if len(request.Body) <= minConcurrentBody && !request.ExpectContinue {
 		head.Write(request.Body)
 		return c.writeAll(head.Bytes())
 	}
 	if failure := c.writeAll(head.Bytes()); failure != nil {
 		return failure
 	}
-	if request.AskFirst {
+	if request.ExpectContinue {
 		c.unsent = request.Body
 		return nil
 	}
@@ -179,7 +179,7 @@
 	head.WriteString(request.Host)
 	head.WriteString("\r\n")
 	_ = request.Header.Write(head) // writing to a buffer does not fail
-	if request.AskFirst {
+	if request.ExpectContinue {
 		head.WriteString("Expect: 100-continue\r\n")
 	}
 	if request.SilenceLimit > 0 && progressHeader != "" {
@@ -232,7 +232,7 @@
 // awaitWritten reports whether the whole request was written. A server that runs only
 // complete requests has received all of it, although the write may not have returned yet.
 func (c *conn) awaitWritten() bool {
-	if c.writing == nil || !c.pool.options.RunsWholeOnly {
+	if c.writing == nil || !c.pool.options.RunsOnlyComplete {
 		return c.written()
 	}
 	_ = c.Conn.SetWriteDeadline(time.Now().Add(bodyFinishTimeout))
--- a/internal/dataplane/client/gone.go
+++ b/internal/dataplane/client/gone.go
@@ -20,9 +20,9 @@
 	goneTimeout = 300 * time.Millisecond
 )
 
-// IsGone reports whether nothing listens at the server's address, as when its process has
+// RefusesConnections reports whether nothing listens at the server's address, as when its process has
 // exited. It tries to connect and keeps a successful connection for later requests.
-func (p *Pool) IsGone() bool {
+func (p *Pool) RefusesConnections() bool {
 	for range goneAttempts {
 		ctx, cancel := context.WithTimeout(context.Background(), goneTimeout)
 		dialed, err := p.dial(ctx)
--- a/internal/dataplane/client/progress_test.go
+++ b/internal/dataplane/client/progress_test.go
@@ -50,11 +50,11 @@
 				}
 			}()
 			pool := client.NewPool(client.Options{
-				Address: listener.Addr().String(), ConnectTimeout: time.Minute, RunsWholeOnly: row.wholeOnly,
+				Address: listener.Addr().String(), ConnectTimeout: time.Minute, RunsOnlyComplete: row.wholeOnly,
 			})
 			defer pool.Close()
 			_, err = pool.Do(context.Background(), &client.Request{
-				Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, AskFirst: true,
+				Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, ExpectContinue: true,
 				// More than the connection's buffers can hold, unless the server reads it.
 				Body: bytes.Repeat([]byte("x"), map[bool]int{true: size, false: 64 << 20}[row.takesBody]),
 			})
@@ -90,7 +90,7 @@
 		_, err = io.Copy(io.Discard, reader)
 		got <- err
 	}()
-	pool := client.NewPool(client.Options{Address: listener.Addr().String(), ConnectTimeout: time.Minute, RunsWholeOnly: true})
+	pool := client.NewPool(client.Options{Address: listener.Addr().String(), ConnectTimeout: time.Minute, RunsOnlyComplete: true})
 	defer pool.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -98,7 +98,7 @@
 		cancel()
 	}()
 	_, err = pool.Do(ctx, &client.Request{
-		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, AskFirst: true, Body: make([]byte, size),
+		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, ExpectContinue: true, Body: make([]byte, size),
 	})
 	c.Assert(err, qt.IsNotNil)
 	close(left)
--- a/internal/dataplane/client/response.go
+++ b/internal/dataplane/client/response.go
@@ -61,9 +61,9 @@
 // passed on, so that an incomplete one can still be replaced.
 const MaxBufferedBodyBytes = 1 << 20
 
-// Hold reads a short body to its end. For a long body or a stream of events whole is false,
+// Buffer reads a short body to its end. For a long body or a stream of events whole is false,
 // and the rest is still to be read from Body.
-func (r *Response) Hold() (start []byte, whole bool, err error) {
+func (r *Response) Buffer() (start []byte, whole bool, err error) {
 	if r.Length > MaxBufferedBodyBytes || strings.HasPrefix(r.Header.Get("Content-Type"), "text/event-stream") {
 		return nil, false, nil
 	}
--- a/internal/dataplane/client/silence_test.go
+++ b/internal/dataplane/client/silence_test.go
@@ -108,7 +108,7 @@
 		[]string{answerText})
 	pool := client.NewPool(client.Options{
 		Address: server.address, IDHeader: verifyIDHeader, ConnectTimeout: time.Minute, IdleTimeout: time.Hour,
-		VerifyAfter: time.Minute, VerifyRested: time.Second, VerifyTimeout: checkTimeout, Now: func() time.Time { return now },
+		VerifyAfter: time.Minute, VerifyIdle: time.Second, VerifyTimeout: checkTimeout, Now: func() time.Time { return now },
 	})
 	c.Cleanup(pool.Close)
 	hold := func(target string) *client.Response {
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -116,7 +116,7 @@
 		lines: boundedlog.New(options.Logger),
 	}
 	created.probes = newProbeSemaphore()
-	created.crashes = &crashDetector{isGone: created.instance.IsGone, crashed: created.crashed}
+	created.crashes = &crashDetector{isGone: created.instance.RefusesConnections, crashed: created.crashed}
 	created.cold = newColdTracker(options)
 	created.queue = queue.NewRateLimited(options.Slots, created.cold.limit)
 	created.slots.Store(int64(options.Slots))
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -74,7 +74,7 @@
 		Header: header, Body: request.Body, ID: request.ID,
 	}
 	if !order.Repeatable && p.options.Mechanisms.RestLimit {
-		sent.MaxRest = p.options.MaxIdleNonRepeatable
+		sent.MaxIdle = p.options.MaxIdleNonRepeatable
 	}
 	return sent
 }
@@ -136,7 +136,7 @@
 func (p *Proxy) forwardResponse(response *client.Response, request *message.Request, order hop.Order, started time.Time, slot *queue.Slot, cancel func()) Delivery {
 	answer := &message.Response{Status: response.Status, Header: response.Header, Length: response.Length}
 	message.StripHopByHop(answer.Header)
-	body, complete, err := response.Hold()
+	body, complete, err := response.Buffer()
 	if err == nil {
 		p.clearSuspicion(request)
 	}
--- a/internal/dataplane/outbound/sidecar_pools.go
+++ b/internal/dataplane/outbound/sidecar_pools.go
@@ -86,18 +86,18 @@
 	pool := n.pools[address]
 	if pool == nil {
 		pool = client.NewPool(client.Options{
-			Address:        address,
-			IDHeader:       n.idHeader,
-			ConnectTimeout: nodeConnectTimeout,
-			IdleTimeout:    nodeIdleTimeout,
-			RunsWholeOnly:  true,
-			Pacer:          n.pacer,
-			PaceHeader:     hop.HeaderPace,
-			ProgressHeader: hop.HeaderProgress,
-			Dial:           client.DialRemote,
-			VerifyAfter:    nodeVerifyAfter,
-			VerifyRested:   nodeVerifyIdle,
-			VerifyTimeout:  nodeVerifyTimeout,
+			Address:          address,
+			IDHeader:         n.idHeader,
+			ConnectTimeout:   nodeConnectTimeout,
+			IdleTimeout:      nodeIdleTimeout,
+			RunsOnlyComplete: true,
+			Pacer:            n.pacer,
+			PaceHeader:       hop.HeaderPace,
+			ProgressHeader:   hop.HeaderProgress,
+			Dial:             client.DialRemote,
+			VerifyAfter:      nodeVerifyAfter,
+			VerifyIdle:       nodeVerifyIdle,
+			VerifyTimeout:    nodeVerifyTimeout,
 		})
 		n.pools[address] = pool
 	}
@@ -136,8 +136,8 @@
 	response, err := n.poolOf(n.nodeAddress(instance)).Do(ctx, &client.Request{
 		Method: request.Method, Target: request.Target, Host: request.Host,
 		Header: header, Body: request.Body, ID: request.ID,
-		AskFirst:     n.askFirst && len(request.Body) >= transfer.MinAdmissionBytes,
-		SilenceLimit: silenceLimitOf(order),
+		ExpectContinue: n.askFirst && len(request.Body) >= transfer.MinAdmissionBytes,
+		SilenceLimit:   silenceLimitOf(order),
 	})
 	if err != nil {
 		return failedSend(err)
@@ -188,7 +188,7 @@
 func takeAnswer(response *client.Response, report hop.Report) sendResult {
 	answer := &message.Response{Status: response.Status, Header: response.Header, Length: response.Length}
 	message.StripHopByHop(answer.Header)
-	body, whole, err := response.Hold()
+	body, whole, err := response.Buffer()
 	switch {
 	case err != nil:
 		_ = response.Close()
--- a/internal/dataplane/server/admit_test.go
+++ b/internal/dataplane/server/admit_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(created.Close)
 	pool := client.NewPool(client.Options{
 		Address: listener.Addr().String(), ConnectTimeout: time.Minute, IdleTimeout: time.Minute,
-		RunsWholeOnly: true, PaceHeader: paceHeader,
+		RunsOnlyComplete: true, PaceHeader: paceHeader,
 	})
 	t.Cleanup(pool.Close)
 	return pool
@@ -55,7 +55,7 @@
 
 func upload(size int) *client.Request {
 	return &client.Request{
-		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: bytes.Repeat([]byte("x"), size), AskFirst: true,
+		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: bytes.Repeat([]byte("x"), size), ExpectContinue: true,
 	}
 }
 
@@ -70,7 +70,7 @@
 	for range 2 { // on one connection
 		response, err := pool.Do(context.Background(), upload(100_000))
 		c.Assert(err, qt.IsNil)
-		body, whole, err := response.Hold()
+		body, whole, err := response.Buffer()
 		c.Assert(err, qt.IsNil)
 		c.Check(whole, qt.IsTrue)
 		c.Check(string(body), qt.Equals, "100000")
