--- a/internal/dataplane/inbound/admit.go
+++ b/internal/dataplane/inbound/admit.go
@@ -38,7 +38,7 @@
 		p.log(request, order, delivery)
 		return p.refuseAdmission(request, delivery)
 	}
-	admission := server.Admission{Done: func(complete bool) {
+	admission := server.Admission{Release: func(complete bool) {
 		if complete {
 			grant.Received()
 			return
@@ -47,7 +47,7 @@
 		p.logIncompleteBody(request, order, bytes)
 	}}
 	if pace := p.link.Pace(); pace > 0 {
-		admission.Interim = server.Interim(hop.HeaderPace, strconv.FormatInt(pace, 10))
+		admission.Interim = server.InterimHeader(hop.HeaderPace, strconv.FormatInt(pace, 10))
 	}
 	return admission
 }
--- a/internal/dataplane/server/admit.go
+++ b/internal/dataplane/server/admit.go
@@ -18,7 +18,7 @@
 // the connection can be used for further requests.
 func (c *connection) readAdmitted(parsed *http.Request, read *exchange, limits Limits) (*exchange, *message.Response) {
 	admission, connected := c.awaitAdmission(read.request, parsed.ContentLength)
-	done := admission.Done
+	done := admission.Release
 	if done == nil {
 		done = func(bool) {}
 	}
@@ -82,5 +82,5 @@
 // past is a deadline that has already expired.
 var past = time.Unix(1, 0)
 
-// Interim returns a header with one field, for an interim response.
-func Interim(name, value string) http.Header { return http.Header{name: {value}} }
+// InterimHeader returns a header with one field, for an interim response.
+func InterimHeader(name, value string) http.Header { return http.Header{name: {value}} }
--- a/internal/dataplane/server/admit_test.go
+++ b/internal/dataplane/server/admit_test.go
@@ -65,7 +65,7 @@
 	ended := make(chan bool, 1)
 	pool := newAdmittingServer(t, func(_ context.Context, _ *message.Request, bytes int64) server.Admission {
 		c.Check(bytes, qt.Equals, int64(100_000))
-		return server.Admission{Interim: server.Interim(paceHeader, "100000000"), Done: func(whole bool) { ended <- whole }}
+		return server.Admission{Interim: server.InterimHeader(paceHeader, "100000000"), Release: func(whole bool) { ended <- whole }}
 	})
 	for range 2 { // on one connection
 		response, err := pool.Do(context.Background(), upload(100_000))
@@ -132,7 +132,7 @@
 	pool := newAdmittingServer(t, func(context.Context, *message.Request, int64) server.Admission {
 		close(admitted)
 		// So slow that the body never becomes complete.
-		return server.Admission{Interim: server.Interim(paceHeader, "1"), Done: func(whole bool) { ended <- whole }}
+		return server.Admission{Interim: server.InterimHeader(paceHeader, "1"), Release: func(whole bool) { ended <- whole }}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
--- a/internal/dataplane/server/server.go
+++ b/internal/dataplane/server/server.go
@@ -57,8 +57,8 @@
 	Refusal *message.Response
 	// Interim holds the fields of the 100 (Continue) response.
 	Interim http.Header
-	// Done, unless nil, is called when the body was read completely or will not be.
-	Done func(whole bool)
+	// Release, unless nil, is called when the body was read completely or will not be.
+	Release func(whole bool)
 }
 
 // maxPipelined limits the unanswered requests on one connection.
