--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -306,7 +306,7 @@
 	}
 	enabled := p.options.Mechanisms
 	if !enabled.ValueOrder {
-		ticket.Value = queue.Full
+		ticket.Value = queue.ValueFull
 	}
 	if !enabled.DueOrder {
 		ticket.Due = request.Arrived
--- a/internal/dataplane/outbound/order.go
+++ b/internal/dataplane/outbound/order.go
@@ -56,7 +56,7 @@
 // that it has until then.
 func (e *exchange) due(choice balance.Choice, remaining time.Duration) (time.Duration, queue.Value) {
 	if e.route.TargetLatency <= 0 {
-		return remaining / 2, queue.Full
+		return remaining / 2, queue.ValueFull
 	}
 	allowed := allowedWait(e.route.TargetLatency, choice.ServiceTime)
 	return dueOf(e.route.TargetLatency, allowed, time.Since(e.request.Arrived), e.elapsed())
@@ -75,13 +75,13 @@
 	wait := allowed - waited
 	switch {
 	case wait <= 0:
-		return 0, queue.Late
+		return 0, queue.ValueLate
 	case elapsed == 0:
-		return wait, queue.Full
+		return wait, queue.ValueFull
 	case wait-elapsed >= minWait:
-		return wait - elapsed, queue.Full
+		return wait - elapsed, queue.ValueFull
 	default:
-		return wait, queue.Reduced
+		return wait, queue.ValueReduced
 	}
 }
 
--- a/internal/dataplane/outbound/order_test.go
+++ b/internal/dataplane/outbound/order_test.go
@@ -17,15 +17,15 @@
 		allowed, waited, elapsed, wait time.Duration
 		value                          queue.Value
 	}{
-		"new":                              {500 * ms, 0, 0, 500 * ms, queue.Full},
-		"new, waited":                      {500 * ms, 100 * ms, 0, 400 * ms, queue.Full},
-		"new, waited for too long":         {500 * ms, 600 * ms, 0, 0, queue.Late},
-		"early retry":                      {500 * ms, 0, 100 * ms, 400 * ms, queue.Full},
-		"late retry":                       {500 * ms, 0, 400 * ms, 500 * ms, queue.Reduced},
-		"late retry, waited":               {500 * ms, 100 * ms, 400 * ms, 400 * ms, queue.Reduced},
-		"late retry, waited for too long":  {500 * ms, 600 * ms, 400 * ms, 0, queue.Late},
-		"retry after more than its target": {500 * ms, 0, 1500 * ms, 500 * ms, queue.Reduced},
-		"early retry, little wait allowed": {200 * ms, 0, 50 * ms, 200 * ms, queue.Reduced},
+		"new":                              {500 * ms, 0, 0, 500 * ms, queue.ValueFull},
+		"new, waited":                      {500 * ms, 100 * ms, 0, 400 * ms, queue.ValueFull},
+		"new, waited for too long":         {500 * ms, 600 * ms, 0, 0, queue.ValueLate},
+		"early retry":                      {500 * ms, 0, 100 * ms, 400 * ms, queue.ValueFull},
+		"late retry":                       {500 * ms, 0, 400 * ms, 500 * ms, queue.ValueReduced},
+		"late retry, waited":               {500 * ms, 100 * ms, 400 * ms, 400 * ms, queue.ValueReduced},
+		"late retry, waited for too long":  {500 * ms, 600 * ms, 400 * ms, 0, queue.ValueLate},
+		"retry after more than its target": {500 * ms, 0, 1500 * ms, 500 * ms, queue.ValueReduced},
+		"early retry, little wait allowed": {200 * ms, 0, 50 * ms, 200 * ms, queue.ValueReduced},
 	} {
 		t.Run(name, func(t *testing.T) {
 			wait, value := dueOf(1000*ms, row.allowed, row.waited, row.elapsed)
--- a/internal/dataplane/queue/queue.go
+++ b/internal/dataplane/queue/queue.go
@@ -33,13 +33,13 @@
 
 // The values, the greatest first.
 const (
-	// Full: the answer can be in time, counted from the caller's first attempt.
-	Full Value = 0
-	// Reduced: the caller was refused before. The answer can be in time, counted from this
+	// ValueFull: the answer can be in time, counted from the caller's first attempt.
+	ValueFull Value = 0
+	// ValueReduced: the caller was refused before. The answer can be in time, counted from this
 	// attempt.
-	Reduced Value = 1
-	// Late: the answer will most likely be late.
-	Late Value = 2
+	ValueReduced Value = 1
+	// ValueLate: the answer will most likely be late.
+	ValueLate Value = 2
 )
 
 // Ticket is a request for a slot.
--- a/internal/dataplane/queue/queue_test.go
+++ b/internal/dataplane/queue/queue_test.go
@@ -84,10 +84,10 @@
 			}()
 			synctest.Wait()
 		}
-		enqueue("late", 1, queue.Late)
-		enqueue("retried", 1, queue.Reduced)
-		enqueue("less urgent", 2, queue.Full)
-		enqueue("new", 1, queue.Full)
+		enqueue("late", 1, queue.ValueLate)
+		enqueue("retried", 1, queue.ValueReduced)
+		enqueue("less urgent", 2, queue.ValueFull)
+		enqueue("new", 1, queue.ValueFull)
 		held.Release(true)
 		for _, want := range []string{"new", "retried", "late", "less urgent"} {
 			c.Check(<-order, qt.Equals, want)
