--- a/internal/dataplane/boundedlog/boundedlog.go
+++ b/internal/dataplane/boundedlog/boundedlog.go
@@ -16,9 +16,9 @@
 	SuccessLines = 2
 )
 
-// Lines limits log lines by rate, separately for failures and successes. It is safe for
+// Limiter limits log lines by rate, separately for failures and successes. It is safe for
 // concurrent use.
-type Lines struct {
+type Limiter struct {
 	logger logrus.FieldLogger
 	now    func() time.Time
 
@@ -29,12 +29,12 @@
 	omitted   int
 }
 
-// New returns Lines for the logger.
-func New(logger logrus.FieldLogger) *Lines { return &Lines{logger: logger, now: time.Now} }
+// New returns a Limiter for the logger.
+func New(logger logrus.FieldLogger) *Limiter { return &Limiter{logger: logger, now: time.Now} }
 
 // Take reserves a line and returns the logger for it, with the number of lines omitted before.
 // ok is false when the limit is reached.
-func (l *Lines) Take(failed bool) (entry logrus.FieldLogger, ok bool) {
+func (l *Limiter) Take(failed bool) (entry logrus.FieldLogger, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if now := l.now(); now.Sub(l.second) >= time.Second {
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -89,7 +89,7 @@
 	probes   probeSemaphore
 	origins  originTracker
 	active   atomic.Int64
-	lines    *boundedlog.Lines
+	lines    *boundedlog.Limiter
 	metrics  *metrics
 }
 
--- a/internal/dataplane/outbound/log.go
+++ b/internal/dataplane/outbound/log.go
@@ -13,7 +13,7 @@
 )
 
 // requestLog logs the end of each request, up to a limited rate.
-type requestLog struct{ lines *boundedlog.Lines }
+type requestLog struct{ lines *boundedlog.Limiter }
 
 func newRequestLog(logger logrus.FieldLogger) *requestLog {
 	return &requestLog{lines: boundedlog.New(logger)}
