--- a/internal/app/store.go
+++ b/internal/app/store.go
@@ -166,7 +166,7 @@
 		return nil, &SettingsError{Err: eris.New("platform.kind store needs outbound.listen, inbound.listen and inbound.service")}
 	}
 	return dataplane.New(dataplane.Options{
-		Names:     platform.Names(),
+		Names:     platform.HeaderNames(),
 		Snapshots: inputs.Applier,
 		Service:   configured.Inbound.Service,
 		Zone:      configured.Node.Zone,
