--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -170,7 +170,7 @@
 	}
 	return &Restore{
 		From: restore.From, To: restore.To, Age: Duration(restore.Age.Round(time.Millisecond)),
-		Retained: restore.Retained, RetainedFor: Duration(restore.Left.Round(time.Millisecond)),
+		Retained: restore.Retained, RetainedFor: Duration(restore.RetainedFor.Round(time.Millisecond)),
 	}
 }
 
--- a/internal/app/fleetchanges.go
+++ b/internal/app/fleetchanges.go
@@ -41,5 +41,5 @@
 		changes[i] = change.Change
 		f.age.Observe(max(now.Sub(change.ReadAt), time.Duration(0)).Seconds())
 	}
-	f.applier.ChangeFleet(changes)
+	f.applier.ApplyFleetChanges(changes)
 }
--- a/internal/configuration/changes.go
+++ b/internal/configuration/changes.go
@@ -4,11 +4,11 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// ChangeFleet applies changes to instances and evacuations that are newer than the document in
+// ApplyFleetChanges applies changes to instances and evacuations that are newer than the document in
 // force, without waiting for the document that contains them. That document may arrive a second
 // later while a large configuration is being transferred, and until then requests would still be
 // sent to instances that leave.
-func (a *Applier) ChangeFleet(changes []snapshot.Change) {
+func (a *Applier) ApplyFleetChanges(changes []snapshot.Change) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, change := range changes {
--- a/internal/configuration/changes_test.go
+++ b/internal/configuration/changes_test.go
@@ -102,13 +102,13 @@
 			if rapid.Bool().Draw(t, "is a document") {
 				_ = applier.Adopt(drawn.documents[at]) // an older one is refused
 			} else {
-				applier.ChangeFleet(drawn.changes[at : at+1])
+				applier.ApplyFleetChanges(drawn.changes[at : at+1])
 				key := drawn.changes[at].Key
 				known[key] = max(known[key], drawn.changes[at].Revision)
 			}
 			checkNotOlder(t, applier.Current(), drawn, known)
 		}
-		applier.ChangeFleet(drawn.changes)
+		applier.ApplyFleetChanges(drawn.changes)
 		last := newApplier(c)
 		_ = last.Adopt(drawn.documents[len(drawn.documents)-1])
 		if got, want := describe(applier.Current()), describe(last.Current()); got != want {
@@ -158,7 +158,7 @@
 	first, err := snapshot.NewDocument(contentOf(1, 1, &held))
 	c.Assert(err, qt.IsNil)
 	c.Assert(applier.Adopt(first), qt.IsNil)
-	applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(2, instanceOf("i-1", snapshot.InstanceDraining))})
+	applier.ApplyFleetChanges([]snapshot.Change{snapshot.InstanceChange(2, instanceOf("i-1", snapshot.InstanceDraining))})
 	invalid := contentOf(3, 1, &held)
 	invalid.Routes[0].Targets[0].Service = "nowhere"
 	refused, err := snapshot.NewDocument(invalid)
@@ -187,7 +187,7 @@
 	adopted := make(chan error)
 	go func() { adopted <- applier.Adopt(second) }()
 	<-started
-	applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(3, instanceOf("i-1", snapshot.InstanceDraining))})
+	applier.ApplyFleetChanges([]snapshot.Change{snapshot.InstanceChange(3, instanceOf("i-1", snapshot.InstanceDraining))})
 	instance, _ := applier.Current().Instance("i-1")
 	c.Check(instance.State, qt.Equals, snapshot.InstanceDraining)
 	c.Check(applier.Current().Version(), qt.Equals, first.Version())
--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -49,9 +49,9 @@
 	// Age is the time since then.
 	Age time.Duration
 	// Retained is how many instance and evacuation states the node retains in place of the source's,
-	// and Left for how much longer at most.
-	Retained int
-	Left     time.Duration
+	// and RetainedFor for how much longer at most.
+	Retained    int
+	RetainedFor time.Duration
 }
 
 // LastRestore returns the last restore of the source that this process saw, if any.
@@ -65,7 +65,7 @@
 	restore = *r.lastRestore
 	restore.Age = clock.Since(r.lastRestoreAt)
 	if restore.Retained = r.retained.Len(); restore.Retained > 0 {
-		restore.Left = max(r.retention-clock.Since(r.retainedSince), 0)
+		restore.RetainedFor = max(r.retention-clock.Since(r.retainedSince), 0)
 	}
 	return restore, true
 }
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -152,7 +152,7 @@
 				case 2:
 					if len(source.changes) > 0 {
 						change := rapid.SampledFrom(source.changes).Draw(t, "change")
-						applier.ChangeFleet([]snapshot.Change{change})
+						applier.ApplyFleetChanges([]snapshot.Change{change})
 						if change.Revision <= applier.Current().Version().Revision {
 							continue // the document in force is newer
 						}
@@ -228,7 +228,7 @@
 		defer stop()
 		left, gone, stays := instanceOf("i-1", snapshot.InstanceReady), instanceOf("i-2", snapshot.InstanceReady), instanceOf("i-3", snapshot.InstanceReady)
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 7), left, gone, stays)), qt.IsNil)
-		applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(1, 8), instanceOf("i-1", snapshot.InstanceDraining))})
+		applier.ApplyFleetChanges([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(1, 8), instanceOf("i-1", snapshot.InstanceDraining))})
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 9), stays)), qt.IsNil)
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 6), left, gone, stays)), qt.IsNil)
 		for range 10 {
@@ -256,7 +256,7 @@
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 9))), qt.IsNil)
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 6), lapsed)), qt.IsNil)
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.Lifecycle(""))
-		applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(2, 7), lapsed)})
+		applier.ApplyFleetChanges([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(2, 7), lapsed)})
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.InstanceReady)
 	})
 }
@@ -280,12 +280,12 @@
 		restore, seen := applier.LastRestore()
 		c.Check(seen, qt.IsTrue)
 		c.Check(restore, qt.Equals, configuration.Restore{
-			From: before.Version(), To: snapshot.NewRevision(2, 6), Age: time.Second, Retained: 1, Left: 5 * time.Second,
+			From: before.Version(), To: snapshot.NewRevision(2, 6), Age: time.Second, Retained: 1, RetainedFor: 5 * time.Second,
 		})
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		restore, _ = applier.LastRestore()
-		c.Check([]any{restore.Age, restore.Retained, restore.Left}, qt.DeepEquals, []any{61 * time.Second, 0, time.Duration(0)})
+		c.Check([]any{restore.Age, restore.Retained, restore.RetainedFor}, qt.DeepEquals, []any{61 * time.Second, 0, time.Duration(0)})
 	})
 }
 
