--- a/internal/proxy/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -38,14 +38,14 @@
 	}
 	for _, test := range []struct {
 		name    string
-		send    *forward.Send
+		send    *forward.SendAttempt
 		prepare func(near, far net.Conn)
 		allowed bool
 	}{
-		{"before the deadline", forward.NewSend(future, nil), nil, true},
-		{"deadline passed", forward.NewSend(time.Now(), nil), nil, false},
-		{"no longer allowed", forward.NewSend(future, func() bool { return false }), nil, false},
-		{"peer has closed", forward.NewSend(future, nil), closePeer, false},
+		{"before the deadline", forward.NewSendAttempt(future, nil), nil, true},
+		{"deadline passed", forward.NewSendAttempt(time.Now(), nil), nil, false},
+		{"no longer allowed", forward.NewSendAttempt(future, func() bool { return false }), nil, false},
+		{"peer has closed", forward.NewSendAttempt(future, nil), closePeer, false},
 		{"no send assigned", nil, nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 func TestSendUsesOneConnection(t *testing.T) {
 	c := qt.New(t)
 	for range 100 {
-		send := forward.NewSend(time.Now().Add(time.Hour), nil)
+		send := forward.NewSendAttempt(time.Now().Add(time.Hour), nil)
 		wrote := make(chan bool, 2)
 		var group sync.WaitGroup
 		for range 2 {
--- a/internal/proxy/forward/send.go
+++ b/internal/proxy/forward/send.go
@@ -20,7 +20,7 @@
 type Conn struct {
 	net.Conn
 	direct   bool
-	assigned atomic.Pointer[Send]
+	assigned atomic.Pointer[SendAttempt]
 }
 
 // NewConn returns the connection without a Send, so that it refuses writes. direct
@@ -29,7 +29,7 @@
 func NewConn(conn net.Conn, direct bool) *Conn { return &Conn{Conn: conn, direct: direct} }
 
 // Assign makes the connection write for this Send.
-func (c *Conn) Assign(send *Send) { c.assigned.Store(send) }
+func (c *Conn) Assign(send *SendAttempt) { c.assigned.Store(send) }
 
 // Write writes for the assigned Send, or returns ErrNotSent.
 func (c *Conn) Write(data []byte) (int, error) {
@@ -52,19 +52,19 @@
 // CloseWrite closes the sending direction, for sessions after an upgrade.
 func (c *Conn) CloseWrite() error { return closeWrite(c.Conn) }
 
-// Send is one attempt to send a request, on at most one connection.
-type Send struct {
+// SendAttempt is one attempt to send a request, on at most one connection.
+type SendAttempt struct {
 	// used is the connection that wrote, or sealed, or nil if neither happened yet.
 	used     atomic.Pointer[Conn]
 	deadline time.Time
 	allowed  func() bool
 }
 
-// NewSend returns an attempt that may begin before the deadline and while allowed
+// NewSendAttempt returns an attempt that may begin before the deadline and while allowed
 // returns true; a nil allowed stands for always. Both are checked immediately before
 // the first byte, so that a process that was paused before it sends nothing late.
-func NewSend(deadline time.Time, allowed func() bool) *Send {
-	return &Send{deadline: deadline, allowed: allowed}
+func NewSendAttempt(deadline time.Time, allowed func() bool) *SendAttempt {
+	return &SendAttempt{deadline: deadline, allowed: allowed}
 }
 
 // sealed marks a Send for which nothing was written and nothing may be written.
@@ -72,7 +72,7 @@
 
 // beginWrite asks for permission to write on a connection. first reports whether it
 // would be the first write of this Send.
-func (s *Send) beginWrite(conn *Conn) (first, allowed bool) {
+func (s *SendAttempt) beginWrite(conn *Conn) (first, allowed bool) {
 	if s.used.Load() == conn {
 		return false, true
 	}
@@ -86,16 +86,16 @@
 	return claimed, claimed
 }
 
-func (s *Send) undoFirstWrite(conn *Conn) { s.used.CompareAndSwap(conn, nil) }
+func (s *SendAttempt) undoFirstWrite(conn *Conn) { s.used.CompareAndSwap(conn, nil) }
 
 // Seal forbids all later writes unless a write was made before, and reports whether
 // one was. A false result proves that the request did not run.
-func (s *Send) Seal() (mayHaveRun bool) {
+func (s *SendAttempt) Seal() (mayHaveRun bool) {
 	return !s.used.CompareAndSwap(nil, sealed) && s.used.Load() != sealed
 }
 
 // Used returns the connection that the request was written on, or nil.
-func (s *Send) Used() *Conn {
+func (s *SendAttempt) Used() *Conn {
 	used := s.used.Load()
 	if used == sealed {
 		return nil
--- a/internal/proxy/inbound/exchange.go
+++ b/internal/proxy/inbound/exchange.go
@@ -25,7 +25,7 @@
 	body             *requestBody    // nil without a body
 	deadline         time.Time
 	informer         *forward.Informer
-	send             *forward.Send
+	send             *forward.SendAttempt
 	slot             *admission.Slot // nil until one is held
 	idempotencyState                 // state of a request with an Idempotency-Key
 
@@ -49,7 +49,7 @@
 		ctx:      ctx, cancel: cancel,
 	}
 	created.detachFromSender = context.AfterFunc(r.Context(), func() { cancel(context.Canceled) })
-	created.send = forward.NewSend(deadline, created.maySend)
+	created.send = forward.NewSendAttempt(deadline, created.maySend)
 	created.timer = time.AfterFunc(time.Until(deadline), created.expire)
 	return created
 }
--- a/internal/proxy/inbound/reports.go
+++ b/internal/proxy/inbound/reports.go
@@ -168,7 +168,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	deadline, _ := ctx.Deadline()
-	send := forward.NewSend(deadline, nil)
+	send := forward.NewSendAttempt(deadline, nil)
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		info.Conn.(*forward.Conn).Assign(send)
 	}}
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -88,7 +88,7 @@
 }
 
 func (e *exchange) send(endpoint membership.Endpoint) sendResult {
-	current := forward.NewSend(e.deadline, nil)
+	current := forward.NewSendAttempt(e.deadline, nil)
 	var result sendResult
 	request := e.newOutgoingRequest(current, endpoint, &result.reused)
 	result.response, result.err = e.proxy.transport.RoundTrip(request)
@@ -109,7 +109,7 @@
 
 // newOutgoingRequest returns the request to send to one instance. reused is set as
 // soon as the request has a connection.
-func (e *exchange) newOutgoingRequest(current *forward.Send, endpoint membership.Endpoint, reused *bool) *http.Request {
+func (e *exchange) newOutgoingRequest(current *forward.SendAttempt, endpoint membership.Endpoint, reused *bool) *http.Request {
 	header := e.header
 	if e.sends > 0 {
 		header = maps.Clone(header) // the previous round trip may still read its header
