--- a/internal/proxy/forward/informer.go
+++ b/internal/proxy/forward/informer.go
@@ -7,24 +7,24 @@
 	"sync"
 )
 
-// Informer forwards 1xx responses until the final response begins. The transport calls
+// InformationalForwarder forwards 1xx responses until the final response begins. The transport calls
 // it from a goroutine of its own.
-type Informer struct {
+type InformationalForwarder struct {
 	mu      sync.Mutex
 	stopped bool
 	writer  http.ResponseWriter
 }
 
-// NewInformer returns an Informer for the response to r. It forwards nothing to an
+// NewInformationalForwarder returns an InformationalForwarder for the response to r. It forwards nothing to an
 // HTTP/1.0 client, which does not know 1xx responses.
-func NewInformer(w http.ResponseWriter, r *http.Request) *Informer {
-	return &Informer{writer: w, stopped: !r.ProtoAtLeast(1, 1)}
+func NewInformationalForwarder(w http.ResponseWriter, r *http.Request) *InformationalForwarder {
+	return &InformationalForwarder{writer: w, stopped: !r.ProtoAtLeast(1, 1)}
 }
 
 // Pass forwards one 1xx response; it has the signature of
 // httptrace.ClientTrace.Got1xxResponse. It does not forward "100 Continue": net/http
 // sends that when the transport reads the body, which the next hop has asked for then.
-func (i *Informer) Pass(status int, from textproto.MIMEHeader) error {
+func (i *InformationalForwarder) Pass(status int, from textproto.MIMEHeader) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.stopped || status == http.StatusContinue {
@@ -41,7 +41,7 @@
 
 // Stop ends the forwarding. Call it before the header of the final response is
 // modified.
-func (i *Informer) Stop() {
+func (i *InformationalForwarder) Stop() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.stopped = true
--- a/internal/proxy/inbound/exchange.go
+++ b/internal/proxy/inbound/exchange.go
@@ -24,7 +24,7 @@
 	upgrade          string          // protocol to switch to, or ""
 	body             *requestBody    // nil without a body
 	deadline         time.Time
-	informer         *forward.Informer
+	informer         *forward.InformationalForwarder
 	send             *forward.SendAttempt
 	slot             *admission.Slot // nil until one is held
 	idempotencyState                 // state of a request with an Idempotency-Key
@@ -45,7 +45,7 @@
 	created := &exchange{
 		proxy: p, writer: w, request: r, body: body, route: route, deadline: deadline,
 		upgrade:  forward.UpgradeProtocol(r.Header),
-		informer: forward.NewInformer(w, r),
+		informer: forward.NewInformationalForwarder(w, r),
 		ctx:      ctx, cancel: cancel,
 	}
 	created.detachFromSender = context.AfterFunc(r.Context(), func() { cancel(context.Canceled) })
--- a/internal/proxy/outbound/exchange.go
+++ b/internal/proxy/outbound/exchange.go
@@ -28,7 +28,7 @@
 	upgrade  string      // protocol that the caller asks to switch to, or ""
 	pin      *pin        // nil unless the request is bound to one instance
 	deadline time.Time
-	informer *forward.Informer
+	informer *forward.InformationalForwarder
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
@@ -53,7 +53,7 @@
 		proxy: p, writer: w, request: r, route: route, header: header,
 		upgrade: forward.UpgradeProtocol(r.Header), deadline: deadline,
 		ctx: ctx, cancel: cancel,
-		informer: forward.NewInformer(w, r),
+		informer: forward.NewInformationalForwarder(w, r),
 	}
 	created.timer = time.AfterFunc(time.Until(deadline), created.expire)
 	key := r.Header.Get(outcome.HeaderIdempotencyKey)
