--- a/internal/proxy/forward/deadline.go
+++ b/internal/proxy/forward/deadline.go
@@ -15,8 +15,8 @@
 // or write.
 var LongAgo = time.Unix(1, 0)
 
-// TimeOver reports whether the deadline of a request has passed, or its context was
+// DeadlinePassed reports whether the deadline of a request has passed, or its context was
 // cancelled with ErrDeadline.
-func TimeOver(ctx context.Context, deadline time.Time) bool {
+func DeadlinePassed(ctx context.Context, deadline time.Time) bool {
 	return errors.Is(context.Cause(ctx), ErrDeadline) || !time.Now().Before(deadline)
 }
--- a/internal/proxy/forward/session.go
+++ b/internal/proxy/forward/session.go
@@ -18,9 +18,9 @@
 	CloseWrite() error
 }
 
-// Upgraded returns the connection to the instance after a 101 response, or false if
+// UpgradedConn returns the connection to the instance after a 101 response, or false if
 // the response switches to a protocol other than the requested one.
-func Upgraded(response *http.Response, requestedProtocol string) (HalfCloseConn, bool) {
+func UpgradedConn(response *http.Response, requestedProtocol string) (HalfCloseConn, bool) {
 	instance, ok := response.Body.(HalfCloseConn)
 	if !ok || requestedProtocol == "" || !strings.EqualFold(UpgradeProtocol(response.Header), requestedProtocol) {
 		return nil, false
@@ -28,9 +28,9 @@
 	return instance, true
 }
 
-// TakeOver hijacks the caller's connection from net/http and writes the 101 response,
+// HijackUpgraded hijacks the caller's connection from net/http and writes the 101 response,
 // with its header and the headers set on w.
-func TakeOver(w http.ResponseWriter, response *http.Response) (HalfCloseConn, error) {
+func HijackUpgraded(w http.ResponseWriter, response *http.Response) (HalfCloseConn, error) {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return nil, eris.Wrap(err, "hijack the caller's connection")
@@ -109,9 +109,9 @@
 
 type onlyReader struct{ io.Reader }
 
-// CloseWith closes the connections of a session when ctx ends. stop cancels that, as
+// CloseOnDone closes the connections of a session when ctx ends. stop cancels that, as
 // for context.AfterFunc.
-func CloseWith(ctx context.Context, ends ...io.Closer) (stop func() bool) {
+func CloseOnDone(ctx context.Context, ends ...io.Closer) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		for _, end := range ends {
 			_ = end.Close()
--- a/internal/proxy/forward/unread.go
+++ b/internal/proxy/forward/unread.go
@@ -23,19 +23,19 @@
 	maxDiscardTime  = 20 * time.Millisecond
 )
 
-// SettleUnread prepares a response to a request whose remaining body is not needed: it
+// DiscardUnreadBody prepares a response to a request whose remaining body is not needed: it
 // reads a short rest that has already arrived, and otherwise makes net/http close the
 // connection after the response. Nothing else may use the body afterwards. It reports
 // whether the body was read to its end. Call it before the response header is written.
-func SettleUnread(w http.ResponseWriter, r *http.Request) (ended bool) {
+func DiscardUnreadBody(w http.ResponseWriter, r *http.Request) (ended bool) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return true
 	}
 	if discardRest(w, r) {
 		return true
 	}
-	CloseAfterAnswer(w)
-	BoundUnread(w)
+	CloseAfterResponse(w)
+	LimitUnreadBody(w)
 	return false
 }
 
@@ -56,14 +56,14 @@
 	return errors.Is(err, io.EOF) && r.Context().Err() == nil
 }
 
-// CloseAfterAnswer makes net/http close the connection after the response. Call it
+// CloseAfterResponse makes net/http close the connection after the response. Call it
 // before the response header is written if the request body was not read to its end.
-func CloseAfterAnswer(w http.ResponseWriter) { w.Header().Set(HeaderConnection, "close") }
+func CloseAfterResponse(w http.ResponseWriter) { w.Header().Set(HeaderConnection, "close") }
 
-// BoundUnread limits how long net/http reads the rest of a request body after the
-// response. Call it after CloseAfterAnswer, when the rest of the body is not needed:
+// LimitUnreadBody limits how long net/http reads the rest of a request body after the
+// response. Call it after CloseAfterResponse, when the rest of the body is not needed:
 // the connection cannot carry another request afterwards.
-func BoundUnread(w http.ResponseWriter) {
+func LimitUnreadBody(w http.ResponseWriter) {
 	control := http.NewResponseController(w)
 	// A deadline set now would be lost: net/http resets it when the handler returns.
 	time.AfterFunc(unreadBodyGrace, func() { _ = control.SetReadDeadline(LongAgo) })
--- a/internal/proxy/inbound/body.go
+++ b/internal/proxy/inbound/body.go
@@ -43,7 +43,7 @@
 // taken for the next request.
 func (b *requestBody) closeIfUnread(w http.ResponseWriter) {
 	if b.unread() {
-		forward.CloseAfterAnswer(w)
+		forward.CloseAfterResponse(w)
 	}
 }
 
@@ -51,7 +51,7 @@
 func (b *requestBody) finish(w http.ResponseWriter) {
 	if b.unread() {
 		b.stop()
-		forward.BoundUnread(w)
+		forward.LimitUnreadBody(w)
 	}
 }
 
--- a/internal/proxy/inbound/exchange.go
+++ b/internal/proxy/inbound/exchange.go
@@ -76,7 +76,7 @@
 }
 
 func (e *exchange) deadlinePassed() bool {
-	return forward.TimeOver(e.ctx, e.deadline)
+	return forward.DeadlinePassed(e.ctx, e.deadline)
 }
 
 // end releases what the exchange holds.
--- a/internal/proxy/inbound/response.go
+++ b/internal/proxy/inbound/response.go
@@ -204,7 +204,7 @@
 // switchProtocols turns the exchange into a session, which relays bytes both ways
 // until both directions have ended.
 func (e *exchange) switchProtocols(response *http.Response) exchangeEnd {
-	instance, agreed := forward.Upgraded(response, e.upgrade)
+	instance, agreed := forward.UpgradedConn(response, e.upgrade)
 	if !agreed {
 		_ = response.Body.Close()
 		return endedWithProblem(outcome.NewProblem(outcome.ReasonBroken, outcome.Unknown, "the back end switched to another protocol"))
@@ -212,12 +212,12 @@
 	defer func() { _ = instance.Close() }()
 	e.becomeSession()
 	e.proxy.setInstanceHeaders(e.writer.Header())
-	sender, err := forward.TakeOver(e.writer, response)
+	sender, err := forward.HijackUpgraded(e.writer, response)
 	if err != nil {
 		return endedCallerGone
 	}
 	defer func() { _ = sender.Close() }()
-	stop := forward.CloseWith(e.ctx, instance, sender)
+	stop := forward.CloseOnDone(e.ctx, instance, sender)
 	defer stop()
 	forward.Relay(sender, instance)
 	return endedAnswered
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -170,7 +170,7 @@
 		}
 	}
 	switch {
-	case forward.TimeOver(e.ctx, e.deadline):
+	case forward.DeadlinePassed(e.ctx, e.deadline):
 		return outcome.NewProblem(outcome.ReasonDeadline, result, "")
 	case mayHaveRun:
 		return outcome.NewProblem(outcome.ReasonBroken, result, "")
--- a/internal/proxy/outbound/exchange.go
+++ b/internal/proxy/outbound/exchange.go
@@ -105,7 +105,7 @@
 	e.ended = true
 	if e.body != nil && e.body.unread() {
 		e.body.stop()
-		forward.BoundUnread(e.writer)
+		forward.LimitUnreadBody(e.writer)
 	}
 }
 
@@ -113,7 +113,7 @@
 func (e *exchange) beginResponse() {
 	e.informer.Stop()
 	if e.body != nil && e.body.unread() {
-		forward.CloseAfterAnswer(e.writer)
+		forward.CloseAfterResponse(e.writer)
 	}
 }
 
@@ -229,7 +229,7 @@
 	e.informer.Stop()
 	if e.body != nil && e.body.unread() {
 		e.body.stop()
-		e.body.setEnded(forward.SettleUnread(e.writer, e.request))
+		e.body.setEnded(forward.DiscardUnreadBody(e.writer, e.request))
 	}
 	problem.Write(e.writer)
 	return completionOf(problem)
--- a/internal/proxy/outbound/proxy.go
+++ b/internal/proxy/outbound/proxy.go
@@ -118,7 +118,7 @@
 	exchange, problem := p.admit(w, r, started)
 	if problem != nil {
 		ended = completionOf(*problem)
-		forward.SettleUnread(w, r)
+		forward.DiscardUnreadBody(w, r)
 		problem.Write(w)
 		return
 	}
--- a/internal/proxy/outbound/session.go
+++ b/internal/proxy/outbound/session.go
@@ -12,7 +12,7 @@
 // switchProtocols turns the exchange into a session, which relays bytes in both
 // directions until both have ended.
 func (e *exchange) switchProtocols(response *http.Response, choice *balance.Choice) completion {
-	instance, agreed := forward.Upgraded(response, e.upgrade)
+	instance, agreed := forward.UpgradedConn(response, e.upgrade)
 	if !agreed {
 		_ = response.Body.Close()
 		e.finish(choice, balance.Failed, time.Now())
@@ -22,12 +22,12 @@
 	e.becomeSession()
 	e.informer.Stop()
 	e.finish(choice, balance.Answered, time.Now())
-	caller, err := forward.TakeOver(e.writer, response)
+	caller, err := forward.HijackUpgraded(e.writer, response)
 	if err != nil {
 		return callerGone
 	}
 	defer func() { _ = caller.Close() }()
-	stop := forward.CloseWith(e.ctx, instance, caller)
+	stop := forward.CloseOnDone(e.ctx, instance, caller)
 	defer stop()
 	forward.Relay(caller, instance)
 	return answered
