--- a/internal/app/claims.go
+++ b/internal/app/claims.go
@@ -33,11 +33,11 @@
 // if the platform is a store.
 func newClaims(inputs claimInputs) (*claim.Memory, error) {
 	configured := inputs.Settings.Inbound
-	if inputs.Listeners.inbound == nil || configured.RepeatReplicas == 0 || inputs.Settings.Platform.Kind == settings.PlatformStore {
+	if inputs.Listeners.inbound == nil || configured.IdempotencyKeyReplicas == 0 || inputs.Settings.Platform.Kind == settings.PlatformStore {
 		return nil, nil
 	}
 	return claim.NewMemory(claim.Options{
-		Local: repeat.NewLocal(repeat.DefaultLimits(configured.RepeatMemory)),
+		Local: repeat.NewLocal(repeat.DefaultLimits(configured.IdempotencyKeyRetention)),
 		Self: func() (membership.NodeID, membership.Incarnation) {
 			return inputs.Self.Node, inputs.Node.Status().Incarnation
 		},
@@ -50,8 +50,8 @@
 			}
 			return stream, nil
 		},
-		Replicas:   configured.RepeatReplicas,
-		Lifetime:   configured.RepeatMemory,
+		Replicas:   configured.IdempotencyKeyReplicas,
+		Lifetime:   configured.IdempotencyKeyRetention,
 		Registerer: inputs.Registerer,
 	})
 }
--- a/internal/proxy/inbound/fault_test.go
+++ b/internal/proxy/inbound/fault_test.go
@@ -126,7 +126,7 @@
 // of the process, must not be forwarded.
 func TestSenderGoneIsNotForwarded(t *testing.T) {
 	r := newRig(t, backend.Options{}, settings.Inbound{
-		Service: testService, Slots: 1, Connections: 10, MaxQueued: 10, RepeatMemory: time.Minute,
+		Service: testService, Slots: 1, Connections: 10, MaxQueued: 10, IdempotencyKeyRetention: time.Minute,
 	})
 	near, far := tcpPair(r.C)
 	request := r.request(r.Context(), http.MethodGet, backend.PathEcho, "")
--- a/internal/proxy/inbound/idempotency.go
+++ b/internal/proxy/inbound/idempotency.go
@@ -60,7 +60,7 @@
 
 // runsOnce reports whether repeats of the request must not run again.
 func (e *exchange) runsOnce() bool {
-	if e.upgrade != "" || e.proxy.settings.RepeatMemory <= 0 {
+	if e.upgrade != "" || e.proxy.settings.IdempotencyKeyRetention <= 0 {
 		return false
 	}
 	switch e.request.Method {
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -102,7 +102,7 @@
 		cancel:      cancel,
 	}
 	if proxy.memory == nil {
-		proxy.memory = repeat.NewLocal(repeat.DefaultLimits(options.Settings.RepeatMemory))
+		proxy.memory = repeat.NewLocal(repeat.DefaultLimits(options.Settings.IdempotencyKeyRetention))
 	}
 	proxy.admission = admission.NewController(proxy.admissionLimits(snapshot.Service{}))
 	proxy.readiness = newReadinessPublisher(options.Publisher, options.Logger, proxy.reportsHealth())
--- a/internal/proxy/inbound/rig_test.go
+++ b/internal/proxy/inbound/rig_test.go
@@ -48,7 +48,7 @@
 func plainSettings() settings.Inbound {
 	return settings.Inbound{
 		Service: testService, Slots: 20, Connections: 130, MaxQueued: 40,
-		DrainGrace: time.Minute, RepeatMemory: time.Minute, HealthInterval: time.Millisecond,
+		DrainGrace: time.Minute, IdempotencyKeyRetention: time.Minute, HealthInterval: time.Millisecond,
 	}
 }
 
--- a/internal/proxy/outbound/bothproxies_test.go
+++ b/internal/proxy/outbound/bothproxies_test.go
@@ -35,7 +35,7 @@
 		Snapshots: r, Publisher: r, Self: membership.Record{Node: membership.NodeID(name), Incarnation: 7},
 		Settings: settings.Inbound{
 			Service: testService, Backend: emulated.Address(), Slots: 4, Connections: 20, MaxQueued: 8,
-			DrainGrace: time.Minute, RepeatMemory: time.Minute, HealthInterval: time.Minute,
+			DrainGrace: time.Minute, IdempotencyKeyRetention: time.Minute, HealthInterval: time.Minute,
 		},
 		Logger: logging.Discard(), Registerer: prometheus.NewRegistry(),
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -126,11 +126,11 @@
 	// the factor on the rate that its service sets, and the excess beyond that.
 	ColdOverage float64 `yaml:"cold_overage" validate:"min=0,max=100" help:"times the rate of its service that a cold back end may get; below 1: 1 (store)"`
 	ColdSlack   float64 `yaml:"cold_slack" validate:"min=0,max=1000000" help:"requests in a second that a cold back end may get beyond that (store)"`
-	// RepeatMemory is how long an Idempotency-Key is remembered.
-	RepeatMemory time.Duration `yaml:"repeat_memory" validate:"gt=0" help:"how long an Idempotency-Key is remembered"`
-	// RepeatReplicas is how many nodes remember each Idempotency-Key; with 0, only the
+	// IdempotencyKeyRetention is how long an Idempotency-Key is remembered.
+	IdempotencyKeyRetention time.Duration `yaml:"repeat_memory" validate:"gt=0" help:"how long an Idempotency-Key is remembered"`
+	// IdempotencyKeyReplicas is how many nodes remember each Idempotency-Key; with 0, only the
 	// node that ran the request does.
-	RepeatReplicas int `yaml:"repeat_replicas" validate:"min=0,max=9" help:"nodes that remember each Idempotency-Key; 0: only the node that ran the request"`
+	IdempotencyKeyReplicas int `yaml:"repeat_replicas" validate:"min=0,max=9" help:"nodes that remember each Idempotency-Key; 0: only the node that ran the request"`
 }
 
 // Retries limits the retries of the whole fleet for one service, if the platform is
