--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -33,7 +33,7 @@
 func (n *fakeNode) View() *membership.View      { return n.view }
 func (n *fakeNode) SetState(membership.State)   {}
 func (n *fakeNode) Status() wire.StatusReply    { return n.status }
-func (n *fakeNode) AskAll(context.Context) []distribution.MemberStatus {
+func (n *fakeNode) QueryAll(context.Context) []distribution.MemberStatus {
 	return []distribution.MemberStatus{{Node: n.status.Node, Reply: &n.status}, {Node: "b", Error: "refused"}}
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -154,7 +154,7 @@
 func (s *Server) fleet(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), fleetTimeout)
 	defer cancel()
-	fleet := newFleetStatus(s.options.Status.AskAll(ctx))
+	fleet := newFleetStatus(s.options.Status.QueryAll(ctx))
 	fleet.Restore = s.lastRestore()
 	s.write(w, http.StatusOK, fleet)
 }
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -41,9 +41,9 @@
 type StatusSource interface {
 	// Status returns the status of this node.
 	Status() wire.StatusReply
-	// AskAll requests the status of every known live member over short-lived connections
+	// QueryAll requests the status of every known live member over short-lived connections
 	// and returns one report each, sorted by node. At most maxStatusRequests run at once.
-	AskAll(ctx context.Context) []MemberStatus
+	QueryAll(ctx context.Context) []MemberStatus
 }
 
 // MemberStatus is the status of one member, or the error of the request for it.
--- a/internal/distribution/node_test.go
+++ b/internal/distribution/node_test.go
@@ -229,7 +229,7 @@
 			return known && member.Leaving && len(view.Members()) == len(nodes)
 		})
 	}
-	reports := nodes[1].AskAll(context.Background())
+	reports := nodes[1].QueryAll(context.Background())
 	c.Assert(reports, qt.HasLen, len(nodes))
 	for _, report := range reports {
 		c.Assert(report.Error, qt.Equals, "")
@@ -320,7 +320,7 @@
 		node.awaitVersion(c, document(1).Version())
 		node.awaitView(func(view *membership.View) bool { return len(view.Members()) == len(nodes) })
 	}
-	for _, report := range nodes[0].AskAll(context.Background()) {
+	for _, report := range nodes[0].QueryAll(context.Background()) {
 		c.Assert(report.Error, qt.Equals, "")
 	}
 }
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxStatusRequests bounds the status requests that AskAll runs at once.
+	// maxStatusRequests bounds the status requests that QueryAll runs at once.
 	maxStatusRequests = 32
 	// statusTimeout bounds sending, and serving, one status request.
 	statusTimeout = 3 * time.Second
@@ -84,9 +84,9 @@
 	_, _ = c.next() // lets the peer read the reply before the socket is closed
 }
 
-// AskAll requests the status of every known live member and returns one report each,
+// QueryAll requests the status of every known live member and returns one report each,
 // sorted by node.
-func (n *Node) AskAll(ctx context.Context) []MemberStatus {
+func (n *Node) QueryAll(ctx context.Context) []MemberStatus {
 	members := n.View().Members()
 	reports := make([]MemberStatus, len(members))
 	var group errgroup.Group
