--- a/internal/app/container.go
+++ b/internal/app/container.go
@@ -177,9 +177,9 @@
 	if err != nil {
 		return nil, err
 	}
-	inputs.Suspects.PublishWith(node.TellCrashes)
+	inputs.Suspects.PublishWith(node.SendCrashes)
 	if store, ok := inputs.Source.(storeReader); ok {
-		store.OnChanges(node.TellFleetChanges)
+		store.OnChanges(node.SendFleetChanges)
 	}
 	return node, nil
 }
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -163,18 +163,18 @@
 	}
 }
 
-// TellCrashes sends crash records of instances to the other nodes. It has no effect after Run
+// SendCrashes sends crash records of instances to the other nodes. It has no effect after Run
 // has returned.
-func (n *Node) TellCrashes(crashes []suspects.Crash) {
+func (n *Node) SendCrashes(crashes []suspects.Crash) {
 	select {
 	case n.events <- CrashesFound{Crashes: crashes}:
 	case <-n.done:
 	}
 }
 
-// TellFleetChanges sends changes that this node has just read from the source to the other
+// SendFleetChanges sends changes that this node has just read from the source to the other
 // nodes. It has no effect after Run has returned.
-func (n *Node) TellFleetChanges(changes []snapshot.Change) {
+func (n *Node) SendFleetChanges(changes []snapshot.Change) {
 	select {
 	case n.events <- FleetChangesRead{Changes: changes}:
 	case <-n.done:
--- a/internal/distribution/simulation/process.go
+++ b/internal/distribution/simulation/process.go
@@ -134,7 +134,7 @@
 	f.processes[name].handle(distribution.SelfState{State: state})
 }
 
-// TellCrashes makes a machine detect crashes of its instance.
+// SendCrashes makes a machine detect crashes of its instance.
 func (f *Fleet) TellCrashes(name membership.NodeID, crashes ...suspects.Crash) {
 	f.processes[name].handle(distribution.CrashesFound{Crashes: crashes})
 }
