--- a/internal/distribution/crashes_test.go
+++ b/internal/distribution/crashes_test.go
@@ -41,16 +41,16 @@
 	const floodTime, healTime = 300 * time.Millisecond, 15 * time.Second
 	t.Run("over the links", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 1, Duplicates: 0.2}, nil)
-		s.TellCrashes(machine(0).Name, crash(s.Fleet, 1))
+		s.DetectCrashes(machine(0).Name, crash(s.Fleet, 1))
 		s.c.Check(s.RunUntil(floodTime, func() bool { return s.allKnow(1) }), qt.IsTrue)
 	})
 	t.Run("a request is cleared later", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 2, Duplicates: 0.2}, nil)
 		found := crash(s.Fleet, 1)
-		s.TellCrashes(machine(0).Name, found)
+		s.DetectCrashes(machine(0).Name, found)
 		s.Run(floodTime)
 		found.Requests = []suspects.Request{{Fingerprint: found.Requests[0].Fingerprint, Cleared: true}}
-		s.TellCrashes(machine(5).Name, found)
+		s.DetectCrashes(machine(5).Name, found)
 		s.Run(floodTime)
 		for _, name := range s.Machines() {
 			s.c.Check(s.Engine(name).Crashes()[0].Requests[0].Cleared, qt.IsTrue, qt.Commentf("%s", name))
@@ -59,7 +59,7 @@
 	t.Run("a node starts", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 3}, nil)
 		s.Kill(machine(3).Name)
-		s.TellCrashes(machine(0).Name, crash(s.Fleet, 1))
+		s.DetectCrashes(machine(0).Name, crash(s.Fleet, 1))
 		s.Run(floodTime)
 		s.Restart(machine(3).Name)
 		s.c.Check(s.RunUntil(time.Second, func() bool { return s.allKnow(1) }), qt.IsTrue)
@@ -69,8 +69,8 @@
 		isolated := machine(7).Name
 		s.Cut(between(func(m *simulation.Machine) bool { return m.Name == isolated }))
 		s.Run(time.Second)
-		s.TellCrashes(machine(0).Name, crash(s.Fleet, 1))
-		s.TellCrashes(isolated, crash(s.Fleet, 2))
+		s.DetectCrashes(machine(0).Name, crash(s.Fleet, 1))
+		s.DetectCrashes(isolated, crash(s.Fleet, 2))
 		s.c.Check(s.RunUntil(healTime, func() bool { return s.allKnow(1, isolated) }), qt.IsTrue)
 		s.c.Check(s.KnowsCrash(isolated, 1), qt.IsFalse)
 		s.Cut(nil)
@@ -79,13 +79,13 @@
 	t.Run("a node is paused", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 5}, nil)
 		s.Pause(machine(2).Name, 5*time.Second)
-		s.TellCrashes(machine(0).Name, crash(s.Fleet, 1))
+		s.DetectCrashes(machine(0).Name, crash(s.Fleet, 1))
 		s.Run(5 * time.Second)
 		s.c.Check(s.RunUntil(healTime, func() bool { return s.allKnow(1) }), qt.IsTrue)
 	})
 	t.Run("the reporting node ends", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 6}, nil)
-		s.TellCrashes(machine(0).Name, crash(s.Fleet, 1))
+		s.DetectCrashes(machine(0).Name, crash(s.Fleet, 1))
 		s.Run(floodTime)
 		for i := range machines / 2 {
 			s.Kill(machine(i).Name)
@@ -118,7 +118,7 @@
 			f := newSettledFleet(simulation.Options{Seed: 7, Latency: 2 * time.Millisecond, AdoptDelay: 10 * time.Millisecond}, count, 3)
 			s := &scenario{c: c, Fleet: f}
 			began := f.Now()
-			f.TellCrashes(f.Machines()[0], crash(f, 1))
+			f.DetectCrashes(f.Machines()[0], crash(f, 1))
 			c.Check(f.RunUntil(300*time.Millisecond, func() bool { return s.allKnow(1) }), qt.IsTrue)
 			t.Logf("%d nodes: all learned of the crash after %s", count, f.Now()-began)
 		})
--- a/internal/distribution/currentsource_test.go
+++ b/internal/distribution/currentsource_test.go
@@ -24,11 +24,11 @@
 				s := newScenario(c, simulation.Options{
 					Seed: seed, Timing: distribution.DefaultTiming().ForCurrentSource(), ReadersPerZone: 1,
 				}, nil)
-				s.Platform.SetUnheard(func(*simulation.Machine) bool { return true })
+				s.Platform.SetUnanswered(func(*simulation.Machine) bool { return true })
 				s.Run(silence)
 				s.publish()
 				s.Run(500 * time.Millisecond)
-				s.Platform.SetUnheard(nil)
+				s.Platform.SetUnanswered(nil)
 				s.converged(inForceWithin)
 			}
 		})
--- a/internal/distribution/faults_test.go
+++ b/internal/distribution/faults_test.go
@@ -217,7 +217,7 @@
 			for _, reader := range s.readers() {
 				lost[reader] = true
 			}
-			s.Platform.SetUnheard(func(m *simulation.Machine) bool { return lost[m.Name] })
+			s.Platform.SetUnanswered(func(m *simulation.Machine) bool { return lost[m.Name] })
 			s.Run(replacedWithin)
 			s.c.Assert(len(s.readers()) >= zones, qt.IsTrue, qt.Commentf("readers %v", s.readers()))
 			s.publish()
@@ -262,13 +262,13 @@
 		run: func(s *scenario) {
 			for range 2 {
 				s.Cut(between(inZone))
-				s.Platform.SetUnheard(inZone)
+				s.Platform.SetUnanswered(inZone)
 				s.Run(time.Minute)
 				s.publish()
 				s.Run(time.Minute)
 				s.Cut(nil)
 				s.converged(healedWithin)
-				s.Platform.SetUnheard(nil)
+				s.Platform.SetUnanswered(nil)
 				s.viewsConverged(time.Minute)
 			}
 		},
@@ -276,12 +276,12 @@
 		name: "regions are split while a revision arrives on one side",
 		run: func(s *scenario) {
 			s.Cut(between(inRegion))
-			s.Platform.SetUnheard(inRegion)
+			s.Platform.SetUnanswered(inRegion)
 			s.publish()
 			s.Run(3 * time.Minute)
 			s.Cut(nil)
 			s.converged(healedWithin)
-			s.Platform.SetUnheard(nil)
+			s.Platform.SetUnanswered(nil)
 		},
 	}, {
 		name: "a third of the nodes are suspended and resume during a change",
@@ -393,7 +393,7 @@
 				if test.wrap == nil {
 					s.viewsConverged(time.Minute)
 				}
-				s.c.Assert(s.Broken(), qt.HasLen, 0)
+				s.c.Assert(s.Violations(), qt.HasLen, 0)
 			}
 		})
 	}
--- a/internal/distribution/fleet_changes_test.go
+++ b/internal/distribution/fleet_changes_test.go
@@ -178,7 +178,7 @@
 			}
 			t.Logf("%d nodes: the slowest of %d changes took %s to reach all nodes", count, changes, slowest)
 			c.Check(slowest <= maxDelay, qt.IsTrue, qt.Commentf("%s", slowest))
-			c.Check(f.Broken(), qt.HasLen, 0)
+			c.Check(f.Violations(), qt.HasLen, 0)
 		})
 	}
 }
--- a/internal/distribution/freshness_test.go
+++ b/internal/distribution/freshness_test.go
@@ -82,7 +82,7 @@
 	f.publish()
 	began := f.Now()
 	c.Check(f.RunUntil(givenUp, func() bool { return f.AllHold(f.latest.Version()) }), qt.IsTrue)
-	c.Check(f.Broken(), qt.HasLen, 0)
+	c.Check(f.Violations(), qt.HasLen, 0)
 	return f.Now() - began
 }
 
@@ -159,7 +159,7 @@
 						worst = max(worst, f.Now()-began)
 						f.Run(time.Duration(random.Int64N(int64(longest))))
 					}
-					c.Check(f.Broken(), qt.HasLen, 0)
+					c.Check(f.Violations(), qt.HasLen, 0)
 				}
 				c.Logf("worst %s", worst)
 				c.Check(worst <= within, qt.IsTrue, qt.Commentf("worst %s", worst))
@@ -247,7 +247,7 @@
 							f.restartRandom(random)
 							f.Run(time.Duration(random.Int64N(int64(2 * time.Second))))
 						}
-						c.Check(f.Broken(), qt.HasLen, 0)
+						c.Check(f.Violations(), qt.HasLen, 0)
 					}
 					slices.Sort(took)
 					nearlyAll, all := took[len(took)*99/100], took[len(took)-1]
--- a/internal/distribution/property_test.go
+++ b/internal/distribution/property_test.go
@@ -64,15 +64,15 @@
 			"source up":       func(*rapid.T) { f.Platform.SetDown(false) },
 			"source stale":    func(t *rapid.T) { f.Platform.SetStale(rapid.SampledFrom(history).Draw(t, "old")) },
 			"source current":  func(*rapid.T) { f.Platform.SetStale(nil) },
-			"source unheard":  func(t *rapid.T) { f.Platform.SetUnheard(inZone) },
-			"source is heard": func(*rapid.T) { f.Platform.SetUnheard(nil) },
+			"source unheard":  func(t *rapid.T) { f.Platform.SetUnanswered(inZone) },
+			"source is heard": func(*rapid.T) { f.Platform.SetUnanswered(nil) },
 			"slow":            func(t *rapid.T) { f.SetSlow(one(t).Name, true) },
 			"fast":            func(t *rapid.T) { f.SetSlow(one(t).Name, false) },
 		})
 		f.Cut(nil)
 		f.Platform.SetDown(false)
 		f.Platform.SetStale(nil)
-		f.Platform.SetUnheard(nil)
+		f.Platform.SetUnanswered(nil)
 		for i := range count {
 			f.SetSlow(machine(i).Name, false)
 			f.Restart(machine(i).Name)
@@ -82,7 +82,7 @@
 		if !f.RunUntil(healed, func() bool { return f.AllHold(last.Version()) }) {
 			t.Fatalf("the fleet did not converge to %s", last.Version())
 		}
-		if broken := f.Broken(); len(broken) > 0 {
+		if broken := f.Violations(); len(broken) > 0 {
 			t.Fatalf("violated invariants: %v", broken)
 		}
 	})
--- a/internal/distribution/protocol_test.go
+++ b/internal/distribution/protocol_test.go
@@ -120,7 +120,7 @@
 				c.Check(f.RunUntil(within, allHold), qt.IsTrue, qt.Commentf("seed %d: the restart", seed))
 				f.Platform.Publish(document(2), "")
 				c.Check(f.RunUntil(within, allHold), qt.IsTrue, qt.Commentf("seed %d: a change", seed))
-				c.Check(f.Broken(), qt.HasLen, 0)
+				c.Check(f.Violations(), qt.HasLen, 0)
 			}
 		})
 	}
@@ -195,5 +195,5 @@
 	f.Platform.Publish(document(2), "")
 	c.Check(f.RunUntil(within, allHold), qt.IsTrue)
 	c.Check(violations, qt.Equals, 0)
-	c.Check(f.Broken(), qt.HasLen, 0)
+	c.Check(f.Violations(), qt.HasLen, 0)
 }
--- a/internal/distribution/restore_table_test.go
+++ b/internal/distribution/restore_table_test.go
@@ -199,7 +199,7 @@
 				f.checkChangesAfterRestore(numberInForce+1, except)
 				f.Run(5 * time.Second)
 				f.c.Check(f.allHoldConfiguration(numberInForce+1, nil), qt.IsTrue, qt.Commentf("at the end"))
-				f.c.Check(f.Broken(), qt.HasLen, 0)
+				f.c.Check(f.Violations(), qt.HasLen, 0)
 			})
 		}
 	}
@@ -288,13 +288,13 @@
 		"one node is cut off meanwhile": func(f *restoredFleet) []membership.NodeID {
 			alone := f.Machines()[5]
 			f.Cut(between(func(m *simulation.Machine) bool { return m.Name == alone }))
-			f.Platform.SetUnheard(func(m *simulation.Machine) bool { return m.Name == alone })
+			f.Platform.SetUnanswered(func(m *simulation.Machine) bool { return m.Name == alone })
 			f.Run(time.Second)
 			f.restore(backupNumber, lostRevisions)
 			f.checkEpochEntered(alone)
 			f.Run(5 * time.Second)
 			f.Cut(nil)
-			f.Platform.SetUnheard(nil)
+			f.Platform.SetUnanswered(nil)
 			f.Run(3 * time.Second)
 			f.checkEpochEntered()
 			return nil
@@ -331,7 +331,7 @@
 			return nil
 		},
 		"half of the zones are not answered": func(f *restoredFleet) []membership.NodeID {
-			f.Platform.SetUnheard(inFirstZones)
+			f.Platform.SetUnanswered(inFirstZones)
 			f.Run(4 * time.Second)
 			f.restore(backupNumber, lostRevisions)
 			f.checkEpochEntered()
--- a/internal/distribution/restore_test.go
+++ b/internal/distribution/restore_test.go
@@ -94,7 +94,7 @@
 			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("the configuration written again"))
 			f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 32), 21, "i-2"), "")
 			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("the next configuration"))
-			c.Check(f.Broken(), qt.HasLen, 0)
+			c.Check(f.Violations(), qt.HasLen, 0)
 		})
 	}
 }
@@ -128,7 +128,7 @@
 	f.Run(within)
 	f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 31), 20, "i-1", "i-2"), "")
 	c.Check(f.RunUntil(within, allHold), qt.IsTrue)
-	c.Check(f.Broken(), qt.HasLen, 0)
+	c.Check(f.Violations(), qt.HasLen, 0)
 }
 
 // TestUpgradeFromReadersWithoutEpochs checks that changes reach all nodes during an upgrade from a
--- a/internal/distribution/simulation/fleet.go
+++ b/internal/distribution/simulation/fleet.go
@@ -151,8 +151,8 @@
 	return true
 }
 
-// Broken returns a description of each invariant violation so far.
-func (f *Fleet) Broken() []string { return f.violations }
+// Violations returns a description of each invariant violation so far.
+func (f *Fleet) Violations() []string { return f.violations }
 
 func (f *Fleet) reportViolation(format string, arguments ...any) {
 	f.violations = append(f.violations, f.Now().String()+": "+fmt.Sprintf(format, arguments...))
--- a/internal/distribution/simulation/platform.go
+++ b/internal/distribution/simulation/platform.go
@@ -155,8 +155,8 @@
 	p.wakeReaders()
 }
 
-// SetUnheard leaves the reads of the selected machines unanswered; nil selects none.
-func (p *Platform) SetUnheard(unheard func(*Machine) bool) {
+// SetUnanswered leaves the reads of the selected machines unanswered; nil selects none.
+func (p *Platform) SetUnanswered(unheard func(*Machine) bool) {
 	if unheard == nil {
 		p.SetBehavior(nil)
 		return
@@ -180,8 +180,8 @@
 // MaxReaders returns the highest number of concurrent readers so far.
 func (p *Platform) MaxReaders() int { return p.maxReaders }
 
-// Asked returns how many machines polled the source within the last window.
-func (p *Platform) Asked(window time.Duration) int {
+// RecentPollers returns how many machines polled the source within the last window.
+func (p *Platform) RecentPollers(window time.Duration) int {
 	count := 0
 	for _, at := range p.lastPollAt {
 		if p.fleet.now.Sub(at) <= window {
--- a/internal/distribution/simulation/process.go
+++ b/internal/distribution/simulation/process.go
@@ -135,7 +135,7 @@
 }
 
 // SendCrashes makes a machine detect crashes of its instance.
-func (f *Fleet) TellCrashes(name membership.NodeID, crashes ...suspects.Crash) {
+func (f *Fleet) DetectCrashes(name membership.NodeID, crashes ...suspects.Crash) {
 	f.processes[name].handle(distribution.CrashesFound{Crashes: crashes})
 }
 
--- a/internal/distribution/size_test.go
+++ b/internal/distribution/size_test.go
@@ -48,7 +48,7 @@
 			f.Restart(name)
 		}
 		f.Run(time.Second)
-		asked := f.Platform.Asked(window)
+		asked := f.Platform.RecentPollers(window)
 		c.Assert(asked <= maxReaders, qt.IsTrue, qt.Commentf("round %d: %d nodes read the source", round, asked))
 	}
 }
@@ -72,7 +72,7 @@
 		f.Run(40 * time.Second)
 	}
 	c.Assert(f.AllHold(f.Platform.Current()), qt.IsTrue)
-	c.Assert(f.Broken(), qt.HasLen, 0)
+	c.Assert(f.Violations(), qt.HasLen, 0)
 }
 
 // TestRestartedNodeIsFoundWithoutTheList: a restarted node cannot find the others while
@@ -130,7 +130,7 @@
 		}
 	}
 	c.Assert(readers, qt.Equals, 16) // two in each zone
-	c.Assert(f.Broken(), qt.HasLen, 0)
+	c.Assert(f.Violations(), qt.HasLen, 0)
 }
 
 func TestControlBytesStayWithinBudget(t *testing.T) {
