--- a/internal/distribution/freshness_test.go
+++ b/internal/distribution/freshness_test.go
@@ -296,7 +296,7 @@
 
 // TestChangeShortlyAfterFleetStart checks that a change is in force in time while all nodes start
 // together and leave reading to others until they know the fleet. The first nodes of each zone then
-// have to read at once, without waiting StandInDelay for a reader that may be restarting.
+// have to read at once, without waiting TakeOverDelay for a reader that may be restarting.
 func TestChangeShortlyAfterFleetStart(t *testing.T) {
 	// inForceBy is the limit, counted from the start: what is required of nodes that have been
 	// running for 3 s, with a margin for real machines.
--- a/internal/distribution/node_test.go
+++ b/internal/distribution/node_test.go
@@ -147,7 +147,7 @@
 // quickTiming returns the default timing with shorter waits for tests.
 func quickTiming() distribution.Timing {
 	timing := distribution.DefaultTiming()
-	timing.ColdWait = 50 * time.Millisecond
+	timing.MinStartWait = 50 * time.Millisecond
 	timing.DialTimeout = time.Second
 	return timing
 }
--- a/internal/distribution/peers.go
+++ b/internal/distribution/peers.go
@@ -81,7 +81,7 @@
 			p.verifyAt = p.retryAt
 		}
 	case e.isLate():
-		p.verifyAt = e.now.Add(e.jittered(e.timing.LateMemory))
+		p.verifyAt = e.now.Add(e.jittered(e.timing.LatePeriod))
 	default:
 		e.suspect(l.node)
 	}
--- a/internal/distribution/reading.go
+++ b/internal/distribution/reading.go
@@ -96,7 +96,7 @@
 	if !current.inGroup(e.options.Self.Node) || !e.start.mayRead(e) {
 		return roleStandby
 	}
-	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.reading.silenceAt) < e.timing.StandInDelay
+	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.reading.silenceAt) < e.timing.TakeOverDelay
 	for _, node := range current.group {
 		if node == e.options.Self.Node {
 			break
@@ -187,7 +187,7 @@
 	}
 }
 
-// updateRole starts or stops reading. It waits StandInDelay before it takes over from a reader
+// updateRole starts or stops reading. It waits TakeOverDelay before it takes over from a reader
 // that is gone: most of those are being restarted, and the source would get an additional
 // reader for each. A node whose StartSettle has just passed does not wait again, because no
 // other node reads yet in a fleet that starts.
@@ -200,10 +200,10 @@
 			r.stoppedReadingAt = e.now
 		}
 		r.startReadingAt = time.Time{}
-	case desired == roleReaderAtOnce || e.now.Sub(r.stoppedReadingAt) < e.timing.StandInDelay || e.start.justSettled(e):
+	case desired == roleReaderAtOnce || e.now.Sub(r.stoppedReadingAt) < e.timing.TakeOverDelay || e.start.justSettled(e):
 		r.startReadingAt = e.now
 	case r.startReadingAt.IsZero():
-		r.startReadingAt = e.now.Add(e.timing.StandInDelay)
+		r.startReadingAt = e.now.Add(e.timing.TakeOverDelay)
 	}
 	if reads := e.passed(r.startReadingAt); reads != r.active {
 		e.setReading(reads)
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// isLate reports whether the process ran late within LateMemory, so that its own
+// isLate reports whether the process ran late within LatePeriod, so that its own
 // timeouts are no evidence against a peer.
 func (e *Engine) isLate() bool {
-	return !e.start.lateAt.IsZero() && e.now.Sub(e.start.lateAt) < e.timing.LateMemory
+	return !e.start.lateAt.IsZero() && e.now.Sub(e.start.lateAt) < e.timing.LatePeriod
 }
 
 // onWakeUp handles a process that was suspended, whose state may be outdated. It asks its
@@ -140,9 +140,9 @@
 	return !e.now.Before(s.settledAt)
 }
 
-// justSettled reports whether the node settled less than StandInDelay ago.
+// justSettled reports whether the node settled less than TakeOverDelay ago.
 func (s *startState) justSettled(e *Engine) bool {
-	return s.settled(e) && e.now.Sub(s.settledAt) < e.timing.StandInDelay
+	return s.settled(e) && e.now.Sub(s.settledAt) < e.timing.TakeOverDelay
 }
 
 // fleetKnown reports whether a node that got its version from a peer knows enough of
@@ -179,7 +179,7 @@
 			return false
 		}
 	}
-	return !e.now.Before(s.startedAt.Add(e.timing.ColdWait))
+	return !e.now.Before(s.startedAt.Add(e.timing.MinStartWait))
 }
 
 // listSettled reports whether the list was read and is in the view, or cannot be read.
@@ -205,7 +205,7 @@
 		return
 	}
 	waits := [...]time.Time{
-		s.startedAt.Add(e.timing.StartPeerWait), s.startedAt.Add(e.timing.ColdWait), s.firstProbeAt.Add(e.timing.StartPeerWait),
+		s.startedAt.Add(e.timing.StartPeerWait), s.startedAt.Add(e.timing.MinStartWait), s.firstProbeAt.Add(e.timing.StartPeerWait),
 	}
 	for _, wait := range waits {
 		if wait.After(e.now) {
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -35,10 +35,10 @@
 	// StartListWait is how long a node that gets no membership list, from the platform or a
 	// peer, waits before it reads the source without one.
 	StartListWait time.Duration
-	// ColdWait is the minimum time that a node without a version waits before it accepts the
+	// MinStartWait is the minimum time that a node without a version waits before it accepts the
 	// source's version, even if its peers have none either. In a fleet that starts together the
 	// list grows in that time, so that few nodes become readers.
-	ColdWait time.Duration
+	MinStartWait time.Duration
 	// StartSettle is how long after its start a node that holds a version leaves reading to
 	// others. In a fleet that starts together each list names few nodes, so that each node
 	// would act as a reader until it learns of the others over its links.
@@ -52,9 +52,9 @@
 	// SourceGrace is how much later than SourceWait an answer may begin, and how long it may
 	// stall after that.
 	SourceGrace time.Duration
-	// StandInDelay is how long a node waits before it takes over from a reader whose process
+	// TakeOverDelay is how long a node waits before it takes over from a reader whose process
 	// is gone. A reader that fell silent or cannot read is replaced at once.
-	StandInDelay time.Duration
+	TakeOverDelay time.Duration
 	// FetchTimeout is how long the answer to a read of the document or the list may take to
 	// begin.
 	FetchTimeout time.Duration
@@ -88,8 +88,8 @@
 	// SuspectedRetry is the least time between two dials of suspected members.
 	SuspectedRetry time.Duration
 	// LateThreshold is how late a wake-up of the engine may be before the process counts as
-	// short of CPU time; for LateMemory after that it suspects no member.
-	LateThreshold, LateMemory time.Duration
+	// short of CPU time; for LatePeriod after that it suspects no member.
+	LateThreshold, LatePeriod time.Duration
 	// PauseThreshold is how late a wake-up may be before the process counts as having been
 	// suspended.
 	PauseThreshold time.Duration
@@ -114,11 +114,11 @@
 		AnswerTime:                    time.Second,
 		StartPeerWait:                 2 * time.Second,
 		StartListWait:                 20 * time.Second,
-		ColdWait:                      time.Second,
+		MinStartWait:                  time.Second,
 		RecheckWait:                   2 * time.Second,
 		SourceWait:                    2 * time.Second,
 		SourceGrace:                   500 * time.Millisecond,
-		StandInDelay:                  700 * time.Millisecond,
+		TakeOverDelay:                 700 * time.Millisecond,
 		FetchTimeout:                  10 * time.Second,
 		FreshnessLimit:                5 * time.Second,
 		FetchDelay:                    150 * time.Millisecond,
@@ -136,7 +136,7 @@
 		FaultWait:                     30 * time.Second,
 		SuspectedRetry:                3 * time.Second,
 		LateThreshold:                 300 * time.Millisecond,
-		LateMemory:                    5 * time.Second,
+		LatePeriod:                    5 * time.Second,
 		PauseThreshold:                3 * time.Second,
 		ExpireInterval:                5 * time.Second,
 		UnneededLinkAge:               10 * time.Second,
