--- a/internal/distribution/announce.go
+++ b/internal/distribution/announce.go
@@ -14,7 +14,7 @@
 	later := e.now.Add(e.timing.AnnounceDelay)
 	for _, l := range e.overlay.order {
 		switch {
-		case !l.lasting():
+		case !l.established():
 		case l.outgoing:
 			l.announceAt = e.now
 		default:
--- a/internal/distribution/dispatch.go
+++ b/internal/distribution/dispatch.go
@@ -21,7 +21,7 @@
 	case *wire.Goodbye:
 		e.onGoodbye(l, m.Reason)
 	default:
-		e.faulty(l, "its first message was not a hello")
+		e.closeFaultyLink(l, "its first message was not a hello")
 	}
 }
 
@@ -72,7 +72,7 @@
 	case *wire.Goodbye:
 		e.onGoodbye(l, m.Reason)
 	default:
-		e.faulty(l, "it sent a message type that is not allowed on a link")
+		e.closeFaultyLink(l, "it sent a message type that is not allowed on a link")
 	}
 	if e.overlay.links[l.id] == l {
 		e.finishProbe(l)
--- a/internal/distribution/fleet_changes.go
+++ b/internal/distribution/fleet_changes.go
@@ -55,7 +55,7 @@
 	for _, change := range m.Changes {
 		decoded, err := snapshot.DecodeChange(change.Revision, change.Resource)
 		if err != nil {
-			e.faulty(l, "it sent an invalid fleet change: "+err.Error())
+			e.closeFaultyLink(l, "it sent an invalid fleet change: "+err.Error())
 			return
 		}
 		age := time.Duration(min(max(change.Age, 0), changeRetention.Milliseconds())) * time.Millisecond
--- a/internal/distribution/link_timers.go
+++ b/internal/distribution/link_timers.go
@@ -20,7 +20,7 @@
 			e.closeLink(l, wire.GoodbyeDone)
 		case e.passed(l.deadAt()):
 			if e.isGroupLink(l) {
-				e.reading.silenceAt = e.now
+				e.reading.groupLinkSilentAt = e.now
 			}
 			e.dropLink(l)
 			e.linkLost(l)
--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -75,9 +75,9 @@
 	recordPullReceivedAt time.Time
 }
 
-// lasting reports whether the link is established: up and not a probe. Such a link
+// established reports whether the link is established: up and not a probe. Such a link
 // carries flooded messages.
-func (l *link) lasting() bool { return l.phase == phaseUp && !l.probe }
+func (l *link) established() bool { return l.phase == phaseUp && !l.probe }
 
 // deadAt returns when the link is considered dead.
 func (l *link) deadAt() time.Time {
@@ -334,8 +334,8 @@
 	e.overlayChanged()
 }
 
-// faulty closes a link whose peer violated the protocol.
-func (e *Engine) faulty(l *link, problem string) {
+// closeFaultyLink closes a link whose peer violated the protocol.
+func (e *Engine) closeFaultyLink(l *link, problem string) {
 	e.dropLink(l)
 	e.delayFaultyPeer(l, problem)
 }
--- a/internal/distribution/list.go
+++ b/internal/distribution/list.go
@@ -197,7 +197,7 @@
 	urgent, changed := false, false
 	for _, entry := range entries {
 		if !e.list.merge(entry) {
-			e.outbox.listed.heard(entry.Node, func(held wire.ListedEntry) bool {
+			e.outbox.listed.markKnown(entry.Node, func(held wire.ListedEntry) bool {
 				return slices.Equal(held.Members, entry.Members)
 			}, from)
 			continue
--- a/internal/distribution/overlay.go
+++ b/internal/distribution/overlay.go
@@ -71,7 +71,7 @@
 func (o *overlay) countEstablished() int {
 	count := 0
 	for _, l := range o.order {
-		if l.lasting() {
+		if l.established() {
 			count++
 		}
 	}
@@ -82,7 +82,7 @@
 func (o *overlay) establishedIDs(keep func(*link) bool) []LinkID {
 	var ids []LinkID
 	for _, l := range o.order {
-		if l.lasting() && keep(l) {
+		if l.established() && keep(l) {
 			ids = append(ids, l.id)
 		}
 	}
--- a/internal/distribution/pulls.go
+++ b/internal/distribution/pulls.go
@@ -34,7 +34,7 @@
 	l.held = wire.ShortVersion{}
 	l.failedPulls++
 	if l.failedPulls >= maxFailedPulls {
-		e.faulty(l, "it does not deliver the versions it announces")
+		e.closeFaultyLink(l, "it does not deliver the versions it announces")
 	}
 	e.startPulls()
 }
--- a/internal/distribution/push.go
+++ b/internal/distribution/push.go
@@ -221,14 +221,14 @@
 	case base != nil && base.Version().Revision == m.Base:
 		from = base.Version()
 	case answered:
-		e.faulty(l, "it sent a delta from a revision that the request did not name")
+		e.closeFaultyLink(l, "it sent a delta from a revision that the request did not name")
 		return
 	default:
 		return
 	}
 	document, err := m.Delta(from).Apply(base)
 	if err != nil {
-		e.faulty(l, "it sent an invalid update: "+err.Error())
+		e.closeFaultyLink(l, "it sent an invalid update: "+err.Error())
 		return
 	}
 	l.held = wire.Short(m.Target)
--- a/internal/distribution/reading.go
+++ b/internal/distribution/reading.go
@@ -26,8 +26,8 @@
 	// stoppedReadingAt is when the node last stopped reading. If it becomes a reader again
 	// soon after, it resumes without delay, as after it took a version from a peer first.
 	stoppedReadingAt time.Time
-	// silenceAt is when a link to a group member last failed because the peer was silent.
-	silenceAt time.Time
+	// groupLinkSilentAt is when a link to a group member last failed because the peer was silent.
+	groupLinkSilentAt time.Time
 	// poll is the running AwaitSource, pollAt when to send the next one.
 	poll     RequestID
 	polledAt time.Time
@@ -96,7 +96,7 @@
 	if !current.inGroup(e.options.Self.Node) || !e.start.mayRead(e) {
 		return roleStandby
 	}
-	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.reading.silenceAt) < e.timing.TakeOverDelay
+	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.reading.groupLinkSilentAt) < e.timing.TakeOverDelay
 	for _, node := range current.group {
 		if node == e.options.Self.Node {
 			break
@@ -238,7 +238,7 @@
 // node reads the source.
 func (e *Engine) announceReading() {
 	for _, l := range e.overlay.order {
-		if l.lasting() && e.isCoordinationLink(l) {
+		if l.established() && e.isCoordinationLink(l) {
 			e.sendHeartbeat(l)
 		}
 	}
--- a/internal/distribution/records.go
+++ b/internal/distribution/records.go
@@ -62,8 +62,8 @@
 	p.items[key] = pendingItem[T]{item: item, knownBy: []LinkID{from}}
 }
 
-// heard notes that a link's peer has the same item for a key.
-func (p *pending[K, T]) heard(key K, same func(T) bool, from LinkID) {
+// markKnown notes that a link's peer has the same item for a key.
+func (p *pending[K, T]) markKnown(key K, same func(T) bool, from LinkID) {
 	held, present := p.items[key]
 	if present && same(held.item) && !slices.Contains(held.knownBy, from) {
 		held.knownBy = append(held.knownBy, from)
@@ -98,7 +98,7 @@
 	}
 	if len(added) < len(records) {
 		for _, record := range records {
-			e.outbox.records.heard(record.Node, func(held membership.Record) bool { return held == record }, from)
+			e.outbox.records.markKnown(record.Node, func(held membership.Record) bool { return held == record }, from)
 		}
 	}
 	if len(added) > 0 {
--- a/internal/distribution/refusals.go
+++ b/internal/distribution/refusals.go
@@ -59,7 +59,7 @@
 // this node adopts depends on its own Adopter.
 func (e *Engine) onRefusal(l *link, m *wire.Refusal) {
 	if len(m.Reason) > maxReasonBytes {
-		e.faulty(l, "it sent a refusal reason above the size limit")
+		e.closeFaultyLink(l, "it sent a refusal reason above the size limit")
 		return
 	}
 	e.floodRefusal(*m, l.id)
--- a/internal/distribution/repair.go
+++ b/internal/distribution/repair.go
@@ -57,10 +57,10 @@
 		e.sendDigest(l, wire.DigestAnswer)
 	}
 	e.versionSeen(l)
-	if m.Held.Revision < e.push.heldVersion().Revision && l.lasting() {
+	if m.Held.Revision < e.push.heldVersion().Revision && l.established() {
 		e.send(&wire.Announce{Version: wire.Short(e.push.heldVersion())}, l.id)
 	}
-	if m.FleetDigest != e.fleetDigest() && l.lasting() {
+	if m.FleetDigest != e.fleetDigest() && l.established() {
 		e.pullRecords(l)
 	}
 }
--- a/internal/distribution/upkeep.go
+++ b/internal/distribution/upkeep.go
@@ -35,7 +35,7 @@
 }
 
 func (e *Engine) mayClose(l *link) bool {
-	return l.outgoing && l.lasting() && !e.isCoordinationLink(l) && e.now.Sub(l.openedAt) >= e.timing.UnneededLinkAge
+	return l.outgoing && l.established() && !e.isCoordinationLink(l) && e.now.Sub(l.openedAt) >= e.timing.UnneededLinkAge
 }
 
 // dialSuspected dials one random suspected member, so that the sides of a healed
