--- a/internal/distribution/engine.go
+++ b/internal/distribution/engine.go
@@ -58,7 +58,7 @@
 	members membersState
 	start   startState
 	crashes *suspects.CrashRecords
-	changes changeBook
+	changes changeCache
 }
 
 // NewEngine returns an engine that knows no node but its own.
@@ -82,7 +82,7 @@
 		overlay: newOverlay(),
 		push:    newPushState(),
 		crashes: suspects.NewCrashRecords(),
-		changes: newChangeBook(),
+		changes: newChangeCache(),
 	}
 }
 
--- a/internal/distribution/fleet_changes.go
+++ b/internal/distribution/fleet_changes.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// changeBook remembers the newest change of each key for changeRetention, so that each change is
+// changeCache remembers the newest change of each key for changeRetention, so that each change is
 // forwarded once.
-type changeBook struct {
+type changeCache struct {
 	byKey map[snapshot.Key]rememberedChange
 }
 
@@ -112,10 +112,10 @@
 	learnedAt time.Time
 }
 
-func newChangeBook() changeBook { return changeBook{byKey: make(map[snapshot.Key]rememberedChange)} }
+func newChangeCache() changeCache { return changeCache{byKey: make(map[snapshot.Key]rememberedChange)} }
 
 // merge adds the changes that are newer than the remembered ones of their keys, and returns them.
-func (b *changeBook) merge(changes []AgedChange, now time.Time) (added []AgedChange) {
+func (b *changeCache) merge(changes []AgedChange, now time.Time) (added []AgedChange) {
 	b.expire(now)
 	for _, change := range changes {
 		held, known := b.byKey[change.Key]
@@ -128,13 +128,13 @@
 	return added
 }
 
-func (b *changeBook) expire(now time.Time) {
+func (b *changeCache) expire(now time.Time) {
 	maps.DeleteFunc(b.byKey, func(_ snapshot.Key, change rememberedChange) bool {
 		return now.Sub(change.learnedAt) >= changeRetention
 	})
 }
 
-func (b *changeBook) all() []AgedChange {
+func (b *changeCache) all() []AgedChange {
 	all := make([]AgedChange, 0, len(b.byKey))
 	for _, change := range b.byKey {
 		all = append(all, change.AgedChange)
