--- a/internal/distribution/adopt.go
+++ b/internal/distribution/adopt.go
@@ -42,7 +42,7 @@
 	}
 	clear(e.push.updates)
 	clear(e.push.attempts)
-	e.push.refusals.forgetPassedOn(version)
+	e.push.refusals.forgetForwarded(version)
 	e.log(LogInfo, "version %s is in force, received from %s", version, e.push.adoptingFrom)
 	e.announce()
 }
--- a/internal/distribution/engine.go
+++ b/internal/distribution/engine.go
@@ -161,7 +161,7 @@
 			wake = at
 		}
 	}
-	earlier(e.fleet.tellAt)
+	earlier(e.fleet.notifyAt)
 	earlier(e.outbox.flushAt)
 	earlier(e.overlay.maintainAt)
 	earlier(e.overlay.retrySuspectedAt)
@@ -170,7 +170,7 @@
 	}
 	e.push.deadlines(e, earlier)
 	e.reading.deadlines(earlier)
-	earlier(e.members.askAt)
+	earlier(e.members.nextRequestAt)
 	e.start.deadlines(e, earlier)
 	return wake
 }
--- a/internal/distribution/members.go
+++ b/internal/distribution/members.go
@@ -10,11 +10,11 @@
 // for changes. Other nodes read the list once at startup, and again while they have no
 // links.
 type membersState struct {
-	request    RequestID
-	etag       string
-	askAt      time.Time
-	lastReadAt time.Time
-	failures   int
+	request       RequestID
+	etag          string
+	nextRequestAt time.Time
+	lastReadAt    time.Time
+	failures      int
 	// hasRead is set after the first successful read of the list.
 	hasRead     bool
 	longPolling bool
@@ -30,11 +30,11 @@
 	if m.request != 0 {
 		return
 	}
-	if m.askAt.IsZero() && e.needsList() {
-		m.askAt = m.nextReadAt(e)
+	if m.nextRequestAt.IsZero() && e.needsList() {
+		m.nextRequestAt = m.nextReadAt(e)
 	}
-	if e.passed(m.askAt) {
-		m.askAt = time.Time{}
+	if e.passed(m.nextRequestAt) {
+		m.nextRequestAt = time.Time{}
 		if e.needsList() {
 			e.fetchMembers()
 		}
@@ -106,6 +106,6 @@
 		e.mergeListed(e.list.confirmed(event.Revision), 0)
 	default:
 		m.failures++
-		m.askAt = e.now.Add(e.readDelay(event.Outcome, m.failures))
+		m.nextRequestAt = e.now.Add(e.readDelay(event.Outcome, m.failures))
 	}
 }
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -54,9 +54,9 @@
 	MaxLinks       int
 	// SourceIsCurrent is EngineOptions.SourceIsCurrent.
 	SourceIsCurrent bool
-	// Hold, if set, is called before each event is handled and blocks the node until
+	// BeforeEvent, if set, is called before each event is handled and blocks the node until
 	// it returns. Benchmarks use it to simulate a paused process.
-	Hold func()
+	BeforeEvent func()
 	// ServeClaims, if set, serves an incoming connection of wire.PurposeClaim until
 	// the stream ends; nil refuses such connections.
 	ServeClaims func(stream *ClaimStream)
@@ -219,8 +219,8 @@
 func (n *Node) untilWake() time.Duration { return n.engine.NextWake().Sub(n.options.Now()) }
 
 func (n *Node) handle(ctx context.Context, event Event) {
-	if n.options.Hold != nil {
-		n.options.Hold()
+	if n.options.BeforeEvent != nil {
+		n.options.BeforeEvent()
 	}
 	for event != nil {
 		n.trackEvent(event)
--- a/internal/distribution/reading.go
+++ b/internal/distribution/reading.go
@@ -12,8 +12,8 @@
 // minPollInterval is the lower bound of the interval after a poll that brings a new revision.
 const minPollInterval = 100 * time.Millisecond
 
-// never is the SourceAge of a node that knows of no answer from the source.
-const never = -1
+// unknownSourceAge is the SourceAge of a node that knows of no answer from the source.
+const unknownSourceAge = -1
 
 // readingState is the state of this node as a reader of the source.
 type readingState struct {
@@ -269,7 +269,7 @@
 // sourceAge returns how many milliseconds ago a reader last got an answer from the source.
 func (e *Engine) sourceAge() int64 {
 	if e.reading.confirmedAt.IsZero() {
-		return never
+		return unknownSourceAge
 	}
 	return e.now.Sub(e.reading.confirmedAt).Milliseconds()
 }
--- a/internal/distribution/records.go
+++ b/internal/distribution/records.go
@@ -16,9 +16,9 @@
 type fleetState struct {
 	// published is this node's record as last put into the outbox.
 	published membership.Record
-	// tellAt is when to report the changed fleet to the Adopter, notifiedAt when it was
-	// last reported; a zero tellAt means unchanged.
-	tellAt     time.Time
+	// notifyAt is when to report the changed fleet to the Adopter, notifiedAt when it was
+	// last reported; a zero notifyAt means unchanged.
+	notifyAt   time.Time
 	notifiedAt time.Time
 	expireAt   time.Time
 }
@@ -187,11 +187,11 @@
 // markFleetChanged schedules the publication of the table's new view, immediately if
 // now is set.
 func (e *Engine) markFleetChanged(now bool) {
-	if e.fleet.tellAt.IsZero() {
-		e.fleet.tellAt = latest(e.now.Add(e.timing.ViewWindow), e.fleet.notifiedAt.Add(e.timing.ViewInterval))
+	if e.fleet.notifyAt.IsZero() {
+		e.fleet.notifyAt = latest(e.now.Add(e.timing.ViewWindow), e.fleet.notifiedAt.Add(e.timing.ViewInterval))
 	}
 	if now {
-		e.fleet.tellAt = e.now
+		e.fleet.notifyAt = e.now
 	}
 }
 
@@ -204,10 +204,10 @@
 		}
 		e.forgetPeers()
 	}
-	if !e.passed(e.fleet.tellAt) {
+	if !e.passed(e.fleet.notifyAt) {
 		return
 	}
-	e.fleet.tellAt = time.Time{}
+	e.fleet.notifyAt = time.Time{}
 	e.fleet.notifiedAt = e.now
 	view := e.table.View()
 	if view == e.view {
--- a/internal/distribution/refusals.go
+++ b/internal/distribution/refusals.go
@@ -80,9 +80,9 @@
 	e.send(&refusal, e.overlay.establishedIDs(func(l *link) bool { return l.id != from })...)
 }
 
-// forgetPassedOn removes the forwarded refusals of versions that are not newer than the
+// forgetForwarded removes the forwarded refusals of versions that are not newer than the
 // one in force.
-func (r *refusals) forgetPassedOn(held snapshot.Version) {
+func (r *refusals) forgetForwarded(held snapshot.Version) {
 	for version := range r.forwarded {
 		if !version.Newer(held) {
 			delete(r.forwarded, version)
--- a/internal/distribution/selection.go
+++ b/internal/distribution/selection.go
@@ -12,7 +12,7 @@
 	zoneLinks   = 2
 	regionLinks = 1
 	remoteLinks = 1
-	leastLinks  = 3 // in total, if zones or regions are too small for the numbers above
+	minLinks    = 3 // in total, if zones or regions are too small for the numbers above
 )
 
 // maxPendingDials bounds the unanswered dials, so that slow answers do not cause ever more
@@ -164,7 +164,7 @@
 			})
 		}
 	}
-	if missing := leastLinks - e.countReliable(); missing > 0 {
+	if missing := minLinks - e.countReliable(); missing > 0 {
 		e.dialNearest(missing, func(*membership.Member) bool { return true })
 	}
 }
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -154,7 +154,7 @@
 	switch {
 	case s.knowsFleet:
 	case e.members.hasRead || len(e.list.entries) > 0:
-		s.knowsFleet = e.fleet.tellAt.IsZero()
+		s.knowsFleet = e.fleet.notifyAt.IsZero()
 	default:
 		s.knowsFleet = !e.now.Before(s.startedAt.Add(e.timing.StartListWait))
 	}
@@ -187,7 +187,7 @@
 // until StartListWait has passed.
 func (s *startState) listSettled(e *Engine) bool {
 	if e.members.hasRead {
-		return e.fleet.tellAt.IsZero()
+		return e.fleet.notifyAt.IsZero()
 	}
 	return e.members.failures > 0 && !e.now.Before(s.startedAt.Add(e.timing.StartListWait))
 }
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -46,7 +46,7 @@
 func (n *Node) publishStatus() {
 	n.counters.links.Store(int64(n.engine.overlay.countEstablished()))
 	status := engineStatus{reply: n.engine.Status(), confirmedAt: n.engine.reading.confirmedAt}
-	status.reply.SourceAge = never
+	status.reply.SourceAge = unknownSourceAge
 	if current := n.status.Load(); current != nil && *current == status {
 		return
 	}
--- a/internal/distribution/upkeep.go
+++ b/internal/distribution/upkeep.go
@@ -22,7 +22,7 @@
 	for i := len(order) - 1; i >= 0; i-- {
 		l := order[i]
 		d := e.distanceTo(l.zone, l.region)
-		if counts[d] <= wanted[d] || total <= leastLinks || !e.mayClose(l) {
+		if counts[d] <= wanted[d] || total <= minLinks || !e.mayClose(l) {
 			continue
 		}
 		if successor != nil && l.node == successor.Record.Node {
