--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -261,7 +261,7 @@
 	if !l.probe {
 		e.overlayLinkUp(l, hello, suspected)
 	}
-	e.versionSeen(l)
+	e.peerVersionChanged(l)
 	e.finishProbe(l)
 }
 
--- a/internal/distribution/list.go
+++ b/internal/distribution/list.go
@@ -94,8 +94,8 @@
 	return sum
 }
 
-// in returns the entries in the buckets whose digests differ from a peer's.
-func (b *listReplica) in(theirs []uint64) []wire.ListedEntry {
+// entriesDiffering returns the entries in the buckets whose digests differ from a peer's.
+func (b *listReplica) entriesDiffering(theirs []uint64) []wire.ListedEntry {
 	var differs [listBuckets]bool
 	for i := range differs {
 		differs[i] = i >= len(theirs) || theirs[i] != b.buckets[i]
@@ -110,8 +110,8 @@
 	return entries
 }
 
-// changes stores a list that was just read and returns the entries that changed.
-func (b *listReplica) changes(list []membership.ListedMember, revision uint64, now time.Time) []wire.ListedEntry {
+// storeRead stores a list that was just read and returns the entries that changed.
+func (b *listReplica) storeRead(list []membership.ListedMember, revision uint64, now time.Time) []wire.ListedEntry {
 	before := b.read
 	b.read = make(map[membership.NodeID][]membership.ListedMember, len(list))
 	for _, member := range list {
@@ -124,10 +124,10 @@
 	return b.changesAtRevision(revision)
 }
 
-// confirmed records that the list last read is still current, possibly at a later revision,
+// storeUnchanged records that the list last read is still current, possibly at a later revision,
 // and returns the entries that changed: peers may have sent entries of a revision between
 // the two.
-func (b *listReplica) confirmed(revision uint64) []wire.ListedEntry {
+func (b *listReplica) storeUnchanged(revision uint64) []wire.ListedEntry {
 	if revision = max(revision, b.revision); revision == 0 || b.read == nil {
 		return nil
 	}
--- a/internal/distribution/list_test.go
+++ b/internal/distribution/list_test.go
@@ -31,9 +31,9 @@
 	case s.fromPeer:
 		book.merge(wire.ListedEntry{Node: listedNode, Members: listedAs(s.state), Order: int64(s.revision) * ordersPerRevision})
 	case s.unchanged:
-		mergeAll(book, book.confirmed(s.revision))
+		mergeAll(book, book.storeUnchanged(s.revision))
 	default:
-		mergeAll(book, book.changes(listedAs(s.state), s.revision, time.UnixMilli(1)))
+		mergeAll(book, book.storeRead(listedAs(s.state), s.revision, time.UnixMilli(1)))
 	}
 }
 
@@ -75,11 +75,11 @@
 func TestListChangeWithinOneRevision(t *testing.T) {
 	c := qt.New(t)
 	book := newListReplica()
-	mergeAll(&book, book.changes(listedAs(membership.ListedLive), 5, time.Time{}))
-	news := book.changes(nil, 5, time.Time{})
+	mergeAll(&book, book.storeRead(listedAs(membership.ListedLive), 5, time.Time{}))
+	news := book.storeRead(nil, 5, time.Time{})
 	c.Assert(news, qt.HasLen, 1)
 	mergeAll(&book, news)
 	c.Check(book.entries[listedNode].Members, qt.HasLen, 0)
-	mergeAll(&book, book.changes(listedAs(membership.ListedLive), 6, time.Time{}))
+	mergeAll(&book, book.storeRead(listedAs(membership.ListedLive), 6, time.Time{}))
 	c.Check(book.entries[listedNode].Members, qt.HasLen, 1)
 }
--- a/internal/distribution/members.go
+++ b/internal/distribution/members.go
@@ -97,15 +97,15 @@
 		m.failures = 0
 		m.hasRead = true
 		m.etag = event.ETag
-		e.mergeListed(e.list.changes(event.Members, event.Revision, e.now), 0)
+		e.mergeListed(e.list.storeRead(event.Members, event.Revision, e.now), 0)
 		e.markFleetChanged(e.overlay.countEstablished() == 0)
 		e.overlayChanged()
 	case source.StatusNotModified:
 		m.failures = 0
 		m.hasRead = true
-		e.mergeListed(e.list.confirmed(event.Revision), 0)
+		e.mergeListed(e.list.storeUnchanged(event.Revision), 0)
 	default:
 		m.failures++
-		m.nextRequestAt = e.now.Add(e.readDelay(event.Outcome, m.failures))
+		m.nextRequestAt = e.now.Add(e.retryDelay(event.Outcome, m.failures))
 	}
 }
--- a/internal/distribution/polling.go
+++ b/internal/distribution/polling.go
@@ -165,10 +165,10 @@
 
 // sourceRetryDelay returns how long to wait after a failed read of the source.
 func (e *Engine) sourceRetryDelay(outcome source.Outcome) time.Duration {
-	return e.readDelay(outcome, e.reading.failures)
+	return e.retryDelay(outcome, e.reading.failures)
 }
 
-// readDelay returns how long to wait after a number of failed reads in a row.
-func (e *Engine) readDelay(outcome source.Outcome, failures int) time.Duration {
+// retryDelay returns how long to wait after a number of failed reads in a row.
+func (e *Engine) retryDelay(outcome source.Outcome, failures int) time.Duration {
 	return min(outcome.RetryAfter, e.timing.RetryAfterMax) + e.backoff(failures, e.timing.BackoffMin, e.timing.BackoffMax)
 }
--- a/internal/distribution/pulls.go
+++ b/internal/distribution/pulls.go
@@ -56,7 +56,7 @@
 // startPulls asks peers for versions newer than every verified one: the newest first, each
 // from the first peer that offers it.
 func (e *Engine) startPulls() {
-	for _, l := range e.offers() {
+	for _, l := range e.linksWithNewerVersion() {
 		if _, running := e.push.pulls[l.held]; running {
 			continue
 		}
@@ -80,8 +80,8 @@
 	return e.timing.PullTimeout << min(e.push.attempts[version], maxPullDoublings)
 }
 
-// offers returns the links whose peers hold a newer version than this node, newest first.
-func (e *Engine) offers() []*link {
+// linksWithNewerVersion returns the links whose peers hold a newer version than this node, newest first.
+func (e *Engine) linksWithNewerVersion() []*link {
 	newest := e.push.newestVersion()
 	var offers []*link
 	for _, l := range e.overlay.order {
--- a/internal/distribution/push.go
+++ b/internal/distribution/push.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// versionSeen processes the version that a peer says it holds.
-func (e *Engine) versionSeen(l *link) {
+// peerVersionChanged processes the version that a peer says it holds.
+func (e *Engine) peerVersionChanged(l *link) {
 	if e.push.document(l.held) == nil {
 		e.reportConflict(l.held.Padded(), "peer "+string(l.node))
 	}
@@ -167,7 +167,7 @@
 			delete(e.push.pulls, version) // the peer does not hold it after all
 		}
 	}
-	e.versionSeen(l)
+	e.peerVersionChanged(l)
 }
 
 // onPull answers with the version in force, as a delta if the peer's base is still kept.
--- a/internal/distribution/repair.go
+++ b/internal/distribution/repair.go
@@ -56,7 +56,7 @@
 	if m.Request == wire.DigestAsk {
 		e.sendDigest(l, wire.DigestAnswer)
 	}
-	e.versionSeen(l)
+	e.peerVersionChanged(l)
 	if m.Held.Revision < e.push.heldVersion().Revision && l.established() {
 		e.send(&wire.Announce{Version: wire.Short(e.push.heldVersion())}, l.id)
 	}
@@ -92,7 +92,7 @@
 	records := wire.Records{
 		Records:      e.table.RecordsIn(differing),
 		Observations: e.table.ObservationsIn(differing),
-		Listed:       e.list.in(m.ListBuckets),
+		Listed:       e.list.entriesDiffering(m.ListBuckets),
 	}
 	if m.Reply {
 		e.sendRecordPull(l, false)
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -167,7 +167,7 @@
 	if e.push.newest() != nil {
 		return e.reading.active // a verified document is about to be adopted
 	}
-	if len(e.offers()) > 0 || len(e.push.pulls) > 0 {
+	if len(e.linksWithNewerVersion()) > 0 || len(e.push.pulls) > 0 {
 		return false
 	}
 	if !s.listSettled(e) {
