--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	compiled, err := plan.Snapshot(policy.CountsOf(&membership.View{}))
+	compiled, err := plan.Snapshot(policy.NewCountEvaluator(&membership.View{}))
 	return compiled, plan, err
 }
 
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	limitMemory(loaded.Node)
-	logWriter := logging.NewWriter(c.stderr, logging.DefaultBacklogBytes)
+	logWriter := logging.NewWriter(c.stderr, logging.DefaultBufferBytes)
 	defer logWriter.Close(logFlushTimeout)
 	logger, err := logging.New(logWriter, loaded.Log.Level, loaded.Log.Format)
 	if err != nil {
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// DefaultBacklogBytes is the default of how many bytes a Writer buffers while its
+// DefaultBufferBytes is the default of how many bytes a Writer buffers while its
 // output is blocked.
-const DefaultBacklogBytes = 256 << 10
+const DefaultBufferBytes = 256 << 10
 
 // Writer writes lines to an output in the background, so that callers never block
 // on it. Lines that do not fit into the buffer are dropped and counted. It is safe
@@ -27,10 +27,10 @@
 }
 
 // NewWriter returns a Writer to out that buffers at most limit bytes; zero or less
-// means DefaultBacklogBytes.
+// means DefaultBufferBytes.
 func NewWriter(out io.Writer, limit int) *Writer {
 	if limit <= 0 {
-		limit = DefaultBacklogBytes
+		limit = DefaultBufferBytes
 	}
 	writer := &Writer{out: out, limit: limit, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go writer.run()
--- a/internal/policy/condition.go
+++ b/internal/policy/condition.go
@@ -40,8 +40,8 @@
 	Holds(condition Condition) bool
 }
 
-// CountsOf returns an Evaluator that uses the instance counts of fleet.
-func CountsOf(fleet FleetView) Evaluator { return countEvaluator{fleet: fleet} }
+// NewCountEvaluator returns an Evaluator that uses the instance counts of fleet.
+func NewCountEvaluator(fleet FleetView) Evaluator { return countEvaluator{fleet: fleet} }
 
 type countEvaluator struct{ fleet FleetView }
 
--- a/internal/policy/limits_test.go
+++ b/internal/policy/limits_test.go
@@ -100,7 +100,7 @@
 		again, err := policy.NewPlan(source)
 		qt.Assert(t, err, qt.IsNil)
 		for ready := range 4 {
-			conditions := policy.CountsOf(readyCounts{"reservas": ready, "pacientes": 3 - ready})
+			conditions := policy.NewCountEvaluator(readyCounts{"reservas": ready, "pacientes": 3 - ready})
 			first, err := plan.Snapshot(conditions)
 			qt.Assert(t, err, qt.IsNil)
 			second, err := again.Snapshot(conditions)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return plan.Snapshot(CountsOf(fleet))
+	return plan.Snapshot(NewCountEvaluator(fleet))
 }
 
 // NewPlan runs the policies of a document. The error is an *Errors if any policy is
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -199,7 +199,7 @@
 		reservas, pacientes int
 		name                string
 	}{{0, 0, "a/none"}, {1, 0, "a/some"}, {2, 1, "a/none"}, {3, 1, "a/three"}} {
-		compiled, err := plan.Snapshot(policy.CountsOf(readyCounts{"reservas": test.reservas, "pacientes": test.pacientes}))
+		compiled, err := plan.Snapshot(policy.NewCountEvaluator(readyCounts{"reservas": test.reservas, "pacientes": test.pacientes}))
 		c.Assert(err, qt.IsNil)
 		c.Assert(compiled.Routes(), qt.HasLen, 1)
 		c.Assert(compiled.Routes()[0].Name, qt.Equals, test.name)
