--- a/internal/bench/storesoak/restore.go
+++ b/internal/bench/storesoak/restore.go
@@ -83,7 +83,7 @@
 		}
 		keys := lost.Keys()
 		for _, key := range keys {
-			f.store.WriteAgain(lost, key)
+			f.store.RestoreLost(lost, key)
 			if err := wait.For(ctx, rewrite/time.Duration(len(keys))); err != nil {
 				return err
 			}
--- a/internal/bench/storesoak/storeproxy.go
+++ b/internal/bench/storesoak/storeproxy.go
@@ -64,7 +64,7 @@
 
 // ServeHTTP passes requests on, or handles them as the current refusal says.
 func (p *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	w = store.Paced(w, r.Context(), p.rate)
+	w = store.LimitRate(w, r.Context(), p.rate)
 	refused := p.refusal.Load()
 	switch {
 	case refused == nil:
--- a/internal/emulator/store/backup.go
+++ b/internal/emulator/store/backup.go
@@ -32,8 +32,8 @@
 	s.era = era
 }
 
-// Lost describes the writes that a restore has lost.
-type Lost struct {
+// LostWrites describes the writes that a restore has lost.
+type LostWrites struct {
 	// before is the whole content before the restore; restored is the backup that replaced it.
 	before   map[string]Item
 	restored Backup
@@ -49,10 +49,10 @@
 // Restore replaces the content by that of a backup, at the backup's revision and without a
 // history. Later writes use the revisions above it a second time. If an era is set, it rises by
 // one.
-func (s *Store) Restore(backup Backup) Lost {
+func (s *Store) Restore(backup Backup) LostWrites {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	lost := Lost{before: s.items, restored: backup}
+	lost := LostWrites{before: s.items, restored: backup}
 	s.items, s.revision = maps.Clone(backup.items), backup.revision
 	s.history, s.compactedRevision = nil, backup.revision
 	if s.era > 0 {
@@ -65,7 +65,7 @@
 // Keys returns the keys whose last write is lost, sorted. It compares values as well as
 // revisions: a backup may be older than an earlier restore, after which revisions were used a
 // second time.
-func (l Lost) Keys() (keys []string) {
+func (l LostWrites) Keys() (keys []string) {
 	for key, item := range l.before {
 		if copied := l.restored.items[key]; copied.Revision != item.Revision || !bytes.Equal(copied.Value, item.Value) {
 			keys = append(keys, key)
@@ -80,9 +80,9 @@
 	return keys
 }
 
-// WriteAgain writes the value that a key had before the restore, or deletes the key if it had
+// RestoreLost writes the value that a key had before the restore, or deletes the key if it had
 // none, unless the key has been written since.
-func (s *Store) WriteAgain(lost Lost, key string) {
+func (s *Store) RestoreLost(lost LostWrites, key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if slices.ContainsFunc(s.history, func(change Item) bool { return change.Key == key }) {
--- a/internal/emulator/store/backup_test.go
+++ b/internal/emulator/store/backup_test.go
@@ -21,6 +21,6 @@
 	s.Put("op/config", []byte("3"))
 	lost := s.Restore(second)
 	c.Assert(lost.Keys(), qt.DeepEquals, []string{"op/config"})
-	s.WriteAgain(lost, "op/config")
+	s.RestoreLost(lost, "op/config")
 	c.Check(string(s.Backup().items["op/config"].Value), qt.Equals, "3")
 }
--- a/internal/emulator/store/link.go
+++ b/internal/emulator/store/link.go
@@ -16,9 +16,9 @@
 // items are shorter.
 const minCutBytes = 1 << 10
 
-// Paced limits the rate of a response body to rate bytes a second, as a slow link does; zero:
+// LimitRate limits the rate of a response body to rate bytes a second, as a slow link does; zero:
 // unlimited.
-func Paced(w http.ResponseWriter, ctx context.Context, rate int64) http.ResponseWriter {
+func LimitRate(w http.ResponseWriter, ctx context.Context, rate int64) http.ResponseWriter {
 	if rate == 0 {
 		return w
 	}
--- a/internal/emulator/store/store.go
+++ b/internal/emulator/store/store.go
@@ -85,7 +85,7 @@
 	s.calls[r.URL.Path]++
 	fault := s.fault
 	setEraHeader(w, s.era)
-	w = Paced(w, r.Context(), s.rate)
+	w = LimitRate(w, r.Context(), s.rate)
 	s.mutex.Unlock()
 	if fault == nil {
 		s.router.ServeHTTP(w, r)
