--- a/internal/app/store_cold_test.go
+++ b/internal/app/store_cold_test.go
@@ -68,7 +68,7 @@
 func TestStoreColdInstancesAreNotOverloaded(t *testing.T) {
 	r := newStoreHarness(t, []string{"front", "data", "data"}, func(index int, emulated *instance.Instance) {
 		if index > 0 {
-			emulated.MostPerSecond = coldCapacity
+			emulated.MaxPerSecond = coldCapacity
 		}
 	})
 	r.configureColdRate(2)
@@ -81,8 +81,8 @@
 	c.Check(statuses[http.StatusOK] < 60, qt.IsTrue)
 	c.Check(statuses[http.StatusOK]+statuses[http.StatusServiceUnavailable], qt.Equals, 60)
 	for _, m := range r.machines[1:] {
-		c.Check(m.instance.FellOver(), qt.IsFalse)
-		m.instance.MostPerSecond = 0 // safe to change, as no request is in progress
+		c.Check(m.instance.Overloaded(), qt.IsFalse)
+		m.instance.MaxPerSecond = 0 // safe to change, as no request is in progress
 	}
 
 	r.putCold(1, 0)
--- a/internal/bench/storesoak/cold.go
+++ b/internal/bench/storesoak/cold.go
@@ -33,7 +33,7 @@
 func (s *soak) checkColdInstances() {
 	for _, m := range s.fleet.machines {
 		for _, emulated := range m.instances() {
-			if emulated.FellOver() {
+			if emulated.Overloaded() {
 				s.report.FellOver++
 				s.violation("%s received more than %d requests within a second while it was cold", emulated.Name, coldOverloadPerSecond)
 			}
--- a/internal/bench/storesoak/fleet.go
+++ b/internal/bench/storesoak/fleet.go
@@ -186,8 +186,8 @@
 	m.instance = created
 	m.startedAt = time.Now()
 	if coldFor > 0 {
-		created.SetMostPerSecond(coldOverloadPerSecond)
-		time.AfterFunc(coldFor, func() { created.SetMostPerSecond(0) })
+		created.SetMaxPerSecond(coldOverloadPerSecond)
+		time.AfterFunc(coldFor, func() { created.SetMaxPerSecond(0) })
 	}
 	f.register(m, store.StateReady, coldFor)
 	return nil
--- a/internal/emulator/instance/crash.go
+++ b/internal/emulator/instance/crash.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// SetMostPerSecond changes MostPerSecond of a running instance.
-func (i *Instance) SetMostPerSecond(most int) {
+// SetMaxPerSecond changes MaxPerSecond of a running instance.
+func (i *Instance) SetMaxPerSecond(most int) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.MostPerSecond = most
+	i.MaxPerSecond = most
 }
 
-// FellOver reports whether the instance has failed because more than MostPerSecond requests
+// Overloaded reports whether the instance has failed because more than MaxPerSecond requests
 // began within one second.
-func (i *Instance) FellOver() bool {
+func (i *Instance) Overloaded() bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.overloaded
 }
 
-// failIfOverloaded closes the listener and all connections if more than MostPerSecond requests
+// failIfOverloaded closes the listener and all connections if more than MaxPerSecond requests
 // began in the last second. The mutex is held.
 func (i *Instance) failIfOverloaded() {
-	if i.MostPerSecond == 0 {
+	if i.MaxPerSecond == 0 {
 		return
 	}
 	recent := 0
 	for at := len(i.runs) - 1; at >= 0 && time.Since(i.runs[at].Began) < time.Second; at-- {
 		recent++
 	}
-	if recent <= i.MostPerSecond {
+	if recent <= i.MaxPerSecond {
 		return
 	}
 	i.overloaded = true
--- a/internal/emulator/instance/instance.go
+++ b/internal/emulator/instance/instance.go
@@ -90,10 +90,10 @@
 	Plan func(id string) Fault
 	// Arrived is called for each request that arrives, before anything else; nil: not called.
 	Arrived func(id string)
-	// MostPerSecond is how many requests the instance can begin within one second, for example
+	// MaxPerSecond is how many requests the instance can begin within one second, for example
 	// while it is cold. With more it fails: it closes its connections and accepts no more. Zero:
 	// unlimited.
-	MostPerSecond int
+	MaxPerSecond int
 	// Work is called while a request runs. It should return early when gone is closed, because
 	// the client has disconnected. nil: a request takes no time.
 	Work func(id string, gone <-chan struct{})
