--- a/internal/app/store_repeats_test.go
+++ b/internal/app/store_repeats_test.go
@@ -54,7 +54,7 @@
 			return
 		}
 		emulated.Work = func(id string, _ <-chan struct{}) { graph.call(index, id) }
-		emulated.Judge = graph.failIfCallFailed
+		emulated.FaultAfterWork = graph.failIfCallFailed
 	})
 	graph.harness.store.Put("op/config", fmt.Appendf(nil, configurationOf, 2,
 		`,{"name":"look","pathPrefix":"/look/","kind":"safe","timeoutMs":30000,"targetLatencyMs":20000,"priority":2,"service":"front","maxAttempts":2}`))
--- a/internal/bench/storesoak/crash.go
+++ b/internal/bench/storesoak/crash.go
@@ -34,7 +34,7 @@
 // enableCrashes makes an instance crash on crashing calls and restart under its name.
 func (f *fleet) enableCrashes(emulated *instance.Instance, m *machine) {
 	emulated.CrashesOn = func(id string) bool { return strings.HasPrefix(id, crashPrefix) }
-	emulated.Crashed = func() {
+	emulated.OnCrash = func() {
 		down := shortestDowntime + time.Duration(rand.Int64N(int64(longestDowntime-shortestDowntime)))
 		time.AfterFunc(down, func() { f.restartInstance(emulated, m) })
 	}
--- a/internal/bench/storesoak/nested.go
+++ b/internal/bench/storesoak/nested.go
@@ -57,7 +57,7 @@
 // attach records the arrivals at the instance of a machine, and makes instances of
 // serviceRead send nested calls while they work.
 func (n *nestedCalls) attach(emulated *instance.Instance, m *machine, work func(id string, gone <-chan struct{})) {
-	emulated.Arrived = func(id string) {
+	emulated.OnArrival = func(id string) {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		n.arrivals[id] = append(n.arrivals[id], arrival{m.service, time.Now()})
@@ -69,7 +69,7 @@
 		n.makeCalls(m, id, gone)
 		work(id, gone)
 	}
-	emulated.Judge = func(id string) instance.Fault {
+	emulated.FaultAfterWork = func(id string) instance.Fault {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		if n.failed[id] {
--- a/internal/emulator/instance/crash.go
+++ b/internal/emulator/instance/crash.go
@@ -56,8 +56,8 @@
 	i.down = true
 	i.crashes++
 	i.closeNetwork()
-	if i.Crashed != nil {
-		i.Crashed()
+	if i.OnCrash != nil {
+		i.OnCrash()
 	}
 }
 
--- a/internal/emulator/instance/instance.go
+++ b/internal/emulator/instance/instance.go
@@ -88,8 +88,8 @@
 	Address string
 	// Plan returns the fault for the request with the given id; nil: no faults.
 	Plan func(id string) Fault
-	// Arrived is called for each request that arrives, before anything else; nil: not called.
-	Arrived func(id string)
+	// OnArrival is called for each request that arrives, before anything else; nil: not called.
+	OnArrival func(id string)
 	// MaxPerSecond is how many requests the instance can begin within one second, for example
 	// while it is cold. With more it fails: it closes its connections and accepts no more. Zero:
 	// unlimited.
@@ -97,14 +97,14 @@
 	// Work is called while a request runs. It should return early when gone is closed, because
 	// the client has disconnected. nil: a request takes no time.
 	Work func(id string, gone <-chan struct{})
-	// Judge is called after the work. A fault other than None replaces the one of Plan, for
+	// FaultAfterWork is called after the work. A fault other than None replaces the one of Plan, for
 	// example because calls that the request made have failed. nil: not called.
-	Judge func(id string) Fault
+	FaultAfterWork func(id string) Fault
 
 	// CrashesOn reports whether a request crashes the instance, whatever Plan returns; nil: none
-	// does. Crashed is called after each crash; nil: not called.
+	// does. OnCrash is called after each crash; nil: not called.
 	CrashesOn func(id string) bool
-	Crashed   func()
+	OnCrash   func()
 
 	listener    net.Listener
 	mutex       sync.Mutex
@@ -245,8 +245,8 @@
 // handle serves one request and reports whether the connection stays open.
 func (i *Instance) handle(conn net.Conn, reader *bufio.Reader, request *http.Request) bool {
 	id := request.Header.Get(HeaderID)
-	if i.Arrived != nil {
-		i.Arrived(id)
+	if i.OnArrival != nil {
+		i.OnArrival(id)
 	}
 	fault := i.faultFor(id)
 	if i.CrashesOn != nil && i.CrashesOn(id) {
@@ -279,8 +279,8 @@
 		i.Crash()
 		return false
 	}
-	if i.Judge != nil && !cancelled {
-		if override := i.Judge(id); override != None {
+	if i.FaultAfterWork != nil && !cancelled {
+		if override := i.FaultAfterWork(id); override != None {
 			fault = override
 		}
 	}
