--- a/internal/emulator/platform/faults.go
+++ b/internal/emulator/platform/faults.go
@@ -74,9 +74,9 @@
 	return Fault{}
 }
 
-// Fail sets the fault of a scope. It takes effect at once, also on held reads. The
+// SetFault sets the fault of a scope. It takes effect at once, also on held reads. The
 // zero Fault exempts a narrow scope from the fault of a wider one.
-func (p *Platform) Fail(scope Scope, fault Fault) {
+func (p *Platform) SetFault(scope Scope, fault Fault) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if fault.Kind == FaultStale && fault.Revision == 0 {
@@ -86,8 +86,8 @@
 	p.broadcast()
 }
 
-// Mend removes all faults.
-func (p *Platform) Mend() {
+// ClearFaults removes all faults.
+func (p *Platform) ClearFaults() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.faults = faultTable{}
--- a/internal/source/bad_answers_test.go
+++ b/internal/source/bad_answers_test.go
@@ -369,7 +369,7 @@
 			reader := newClient(c, url, timeoutFor(test.err))
 			held, err := emulator.Submit(snapshot.Policy{Name: "trips", Program: "# none"})
 			c.Assert(err, qt.IsNil)
-			emulator.Fail(platform.Scope{Service: platform.ServiceConfiguration}, test.fault)
+			emulator.SetFault(platform.Scope{Service: platform.ServiceConfiguration}, test.fault)
 			got, outcome := reader.Fetch(context.Background(), held)
 			c.Assert(outcome.Status, qt.Equals, test.status)
 			switch {
@@ -382,7 +382,7 @@
 			default:
 				c.Assert(got.Version().Conflicts(held), qt.IsTrue)
 			}
-			emulator.Mend()
+			emulator.ClearFaults()
 			_, outcome = newClient(c, url, longTimeout).Fetch(context.Background(), held)
 			c.Assert(outcome.Status, qt.Equals, source.StatusNotModified)
 		})
