--- a/internal/emulator/backend/backend_test.go
+++ b/internal/emulator/backend/backend_test.go
@@ -197,7 +197,7 @@
 		{"draining, delayed report", true, backend.Behavior{HealthLag: 600_000}, report.StatusReady, report.Load{Slots: 4}},
 		{"false status failing", false, backend.Behavior{Health: backend.HealthFailing}, report.StatusFailing, report.Load{Slots: 4}},
 		{"false status ready", true, backend.Behavior{Health: backend.HealthReady}, report.StatusReady, report.Load{Slots: 4}},
-		{"false load", false, backend.Behavior{LoadLie: &falseLoad}, report.StatusReady, report.Load{Slots: 4, InFlight: 2}},
+		{"false load", false, backend.Behavior{FalseLoad: &falseLoad}, report.StatusReady, report.Load{Slots: 4, InFlight: 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/emulator/backend/behavior.go
+++ b/internal/emulator/backend/behavior.go
@@ -61,10 +61,10 @@
 	// Health and HealthLag control the health endpoint.
 	Health    HealthMode   `json:"health"`
 	HealthLag Milliseconds `json:"health_lag_ms"`
-	// LoadLie, if set, is the false ratio of requests in flight to slots that the load
+	// FalseLoad, if set, is the false ratio of requests in flight to slots that the load
 	// endpoint reports. Otherwise it reports the true load as it was LoadLag ago.
-	LoadLie *float64     `json:"load_lie,omitempty"`
-	LoadLag Milliseconds `json:"load_lag_ms"`
+	FalseLoad *float64     `json:"load_lie,omitempty"`
+	LoadLag   Milliseconds `json:"load_lag_ms"`
 	// Fault is caused on the next FaultCount requests without HeaderFault.
 	Fault      Fault `json:"fault"`
 	FaultCount int   `json:"fault_count"`
--- a/internal/emulator/backend/journal.go
+++ b/internal/emulator/backend/journal.go
@@ -129,9 +129,9 @@
 	return Runs{}
 }
 
-// Doubled returns, sorted, the numbers of the requests that were started more than
+// RepeatedRequests returns, sorted, the numbers of the requests that were started more than
 // once.
-func (j *Journal) Doubled() []string {
+func (j *Journal) RepeatedRequests() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var doubled []string
--- a/internal/emulator/backend/reports.go
+++ b/internal/emulator/backend/reports.go
@@ -86,8 +86,8 @@
 func (b *Backend) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	behavior := b.Behavior()
 	load := report.Load{Slots: b.options.Slots}
-	if behavior.LoadLie != nil {
-		load.InFlight = int(math.Round(*behavior.LoadLie * float64(load.Slots)))
+	if behavior.FalseLoad != nil {
+		load.InFlight = int(math.Round(*behavior.FalseLoad * float64(load.Slots)))
 	} else {
 		load.InFlight = b.loads.at(time.Now().Add(-behavior.LoadLag.Duration()))
 	}
--- a/internal/proxy/inbound/limits_test.go
+++ b/internal/proxy/inbound/limits_test.go
@@ -65,7 +65,7 @@
 	r.Check(statistics.SlotViolations, qt.Equals, int64(0), qt.Commentf("%+v", statistics))
 	r.Check(statistics.ConnectionViolations, qt.Equals, int64(0))
 	r.Check(statistics.InFlightMax, qt.Equals, int64(slots))
-	r.Check(r.backend.Journal().Doubled(), qt.HasLen, 0)
+	r.Check(r.backend.Journal().RepeatedRequests(), qt.HasLen, 0)
 	refused.Range(func(number, _ any) bool {
 		runs := r.backend.Journal().Request(strconv.Itoa(number.(int)))
 		return r.Check(runs, qt.Equals, backend.Runs{}, qt.Commentf("request %d was refused as not run", number))
--- a/test/integration/faults_test.go
+++ b/test/integration/faults_test.go
@@ -148,7 +148,7 @@
 	}, backend.Behavior{Health: backend.HealthFailing}),
 	withBehavior(faultRow{
 		name: "load endpoint falsely reports full load", guarantee: guaranteeHealth, awaited: []load.Class{load.Answered},
-	}, backend.Behavior{LoadLie: &falseLoad}),
+	}, backend.Behavior{FalseLoad: &falseLoad}),
 	withFault(faultRow{
 		name: "back end stalled", guarantee: guaranteeWholeAnswer, timeout: shortTimeout,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut, load.Late, load.Rejected}, awaited: []load.Class{load.Unknown}, journal: ran,
