--- a/internal/bench/command/store_soak.go
+++ b/internal/bench/command/store_soak.go
@@ -55,7 +55,7 @@
 			return eris.Wrapf(err, "soak test with seed %d", options.Seed)
 		}
 		reports = append(reports, report)
-		if len(report.Broken) > 0 {
+		if len(report.Violations) > 0 {
 			failed++
 		}
 	}
@@ -119,12 +119,12 @@
 		"DOUBLED", "RAN REFUSED", "WRONG", "UNTOLD", "UNASKED", "WENT BACK", "LOST", "LATE", "LATE CHANGES", "INVALID", "FELL OVER", "CRASHES", "AFTER THIRD", "SHUT OUT", "IN FORCE P50", "P99", "MAX", "REPEATS")
 	for _, r := range reports {
 		table.row(r.Seed, fmt.Sprintf("%.0f", r.Seconds), r.Faults, r.Changes, r.Sent, r.Served, r.Refused, r.Failed,
-			r.Doubled, r.RanRefused, r.Wrong, r.Untold, r.Unasked, r.WentBack, r.Lost, r.LateAnswers, r.LateChanges, r.Invalid, r.FellOver, r.Crashes, r.AfterThirdCrash, r.ShutOut,
-			fmt.Sprintf("%.3f", r.InForce.P50), fmt.Sprintf("%.3f", r.InForce.P99), fmt.Sprintf("%.3f", r.InForce.Max), fmt.Sprintf("%.2f", r.Repeats))
+			r.RanTwice, r.RanRefused, r.Wrong, r.NoRetryAfter, r.UnmatchedRuns, r.RolledBack, r.Lost, r.LateAnswers, r.LateChanges, r.Invalid, r.ColdOverloads, r.Crashes, r.AfterThirdCrash, r.WronglyRefused,
+			fmt.Sprintf("%.3f", r.InForce.P50), fmt.Sprintf("%.3f", r.InForce.P99), fmt.Sprintf("%.3f", r.InForce.Max), fmt.Sprintf("%.2f", r.RetryBoundShare))
 	}
 	table.flush()
 	for _, r := range reports {
-		for _, violation := range r.Broken {
+		for _, violation := range r.Violations {
 			_, _ = fmt.Fprintf(c.stdout, "seed %d: broken: %s\n", r.Seed, violation)
 		}
 	}
--- a/internal/bench/storesoak/check.go
+++ b/internal/bench/storesoak/check.go
@@ -22,32 +22,32 @@
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 
-	// Doubled are unsafe calls that ran more than once; RanRefused ran though they were refused
+	// RanTwice are unsafe calls that ran more than once; RanRefused ran though they were refused
 	// as not executed.
-	Doubled    int `json:"doubled"`
+	RanTwice   int `json:"doubled"`
 	RanRefused int `json:"ran_though_refused"`
 	// Wrong got a response that is not that of one of their own runs.
 	Wrong int `json:"wrong"`
-	// Untold were refused as not executed without a Retry-After header.
-	Untold int `json:"untold"`
-	// Unasked are runs that match no call that was sent, or ran at another service than that
+	// NoRetryAfter were refused as not executed without a Retry-After header.
+	NoRetryAfter int `json:"untold"`
+	// UnmatchedRuns are runs that match no call that was sent, or ran at another service than that
 	// of the route.
-	Unasked int `json:"unasked"`
-	// WentBack were handled with an older configuration than an earlier call to the same
+	UnmatchedRuns int `json:"unasked"`
+	// RolledBack were handled with an older configuration than an earlier call to the same
 	// process.
-	WentBack int `json:"went_back"`
+	RolledBack int `json:"went_back"`
 	// Invalid were handled in a way that no version of the configuration allows.
 	Invalid int `json:"handled_as_no_version_says"`
 	// Lost got no response because of planned maintenance.
 	Lost int `json:"lost"`
-	// FellOver are instances that were overloaded while they were cold.
-	FellOver int `json:"fell_over"`
+	// ColdOverloads are instances that were overloaded while they were cold.
+	ColdOverloads int `json:"fell_over"`
 	// Crashes counts the crashes by requests that crash instances, AfterThirdCrash the arrivals
 	// of such a request settleTime after its third crash (the larger count of the two kinds),
-	// ShutOut the other calls that were refused as if they crashed instances.
+	// WronglyRefused the other calls that were refused as if they crashed instances.
 	Crashes         int `json:"crashes"`
 	AfterThirdCrash int `json:"after_third_crash"`
-	ShutOut         int `json:"shut_out"`
+	WronglyRefused  int `json:"shut_out"`
 	// LateAnswers and LateChanges exceeded a time bound that no fault suspended.
 	LateAnswers int `json:"late_answers"`
 	LateChanges int `json:"late_changes"`
@@ -68,11 +68,11 @@
 	Versions    []VersionTimes `json:"versions"`
 	ServedShare []float64      `json:"served_share"`
 
-	// Repeats is the largest used share of the retry bound in any window; above 1 it was exceeded.
-	Repeats float64 `json:"repeats"`
+	// RetryBoundShare is the largest used share of the retry bound in any window; above 1 it was exceeded.
+	RetryBoundShare float64 `json:"repeats"`
 
-	// Broken describes each violated guarantee; the soak passed only if it is empty.
-	Broken []string `json:"broken"`
+	// Violations describes each violated guarantee; the soak passed only if it is empty.
+	Violations []string `json:"broken"`
 }
 
 // VersionTimes holds the times of one configuration change in seconds.
@@ -123,7 +123,7 @@
 				continue
 			}
 			if sent := byID[id]; sent == nil || !each.matchesCall(sent, s.fleet) {
-				s.report.Unasked++
+				s.report.UnmatchedRuns++
 				s.violation("%s ran at %s as %s %s for caller %s, which matches no call that was sent", id, each.name, each.Method, each.Target, each.Caller)
 			}
 		}
@@ -185,7 +185,7 @@
 	bound := repeatjudge.Bound{Ratio: configured.Ratio, Slack: configured.Slack, Window: configured.Window}
 	for _, service := range []string{serviceRead, serviceWrite} {
 		worst := s.fleet.nested.observed(service, calls[0].sent, calls).Worst(bound)
-		s.report.Repeats = max(s.report.Repeats, worst.Share)
+		s.report.RetryBoundShare = max(s.report.RetryBoundShare, worst.Share)
 		if worst.Share > 1 {
 			s.violation("service %s: %s", service, worst)
 		}
@@ -245,7 +245,7 @@
 	machine := s.fleet.machines[c.machine]
 	switch {
 	case c.kind == kindWrite && len(runs) > 1:
-		s.report.Doubled++
+		s.report.RanTwice++
 		s.violation("%s ran %d times", c.id, len(runs))
 	case c.kind == kindWrite && c.isRefused() && len(runs) > 0:
 		s.report.RanRefused++
@@ -261,7 +261,7 @@
 		s.violation("%s got no response because of planned maintenance of machine %d: %v", c.id, machine.number, c.err)
 	}
 	if c.status == http.StatusServiceUnavailable && c.stamp == "" && c.retryAfter == "" {
-		s.report.Untold++
+		s.report.NoRetryAfter++
 		s.violation("%s was refused without a Retry-After header", c.id)
 	}
 	limit := routeTimeoutMillis*time.Millisecond + responseTolerance
--- a/internal/bench/storesoak/check_changes.go
+++ b/internal/bench/storesoak/check_changes.go
@@ -84,7 +84,7 @@
 		s.violation("%s: machine %d handles route %d as %q, but version %d (%s) was acknowledged %s earlier\n%s", seen.call.id, seen.call.machine,
 			seen.call.route, seen.state, required, written.kind, late.Round(time.Millisecond), s.describeChange(written, seen.call))
 	case floor > 0 && s.matchesAnyFrom(seen, 1):
-		s.report.WentBack++
+		s.report.RolledBack++
 		s.violation("%s: machine %d handles route %d as %q, but used version %d before", seen.call.id, seen.call.machine, seen.call.route, seen.state, floor)
 	default:
 		s.report.Invalid++
--- a/internal/bench/storesoak/check_changes_test.go
+++ b/internal/bench/storesoak/check_changes_test.go
@@ -50,7 +50,7 @@
 		"while the store refuses some machines":                 {probes: []probe{{read, 1, 26, 26}}, spans: []*faultSpan{{fault: fault{storeState: storeRefusing}, from: at(19)}}},
 		"too late even while the store refuses some machines":   {probes: []probe{{read, 1, 28, 28}}, spans: []*faultSpan{{fault: fault{storeState: storeRefusing}, from: at(19)}}, want: Report{LateChanges: 1}},
 		"while the store is down":                               {probes: []probe{{read, 1, 28, 28}}, spans: []*faultSpan{{fault: fault{storeState: storeUnavailable}, from: at(19)}}},
-		"returns to an older version":                           {probes: []probe{{write, 1, 20, 20}, {read, 1, 20.5, 20.5}}, want: Report{WentBack: 1}},
+		"returns to an older version":                           {probes: []probe{{write, 1, 20, 20}, {read, 1, 20.5, 20.5}}, want: Report{RolledBack: 1}},
 		"older version within the tolerance":                    {probes: []probe{{write, 1, 20, 20}, {read, 1, 20.2, 20.2}}},
 		"another process of the machine holds an older version": {probes: []probe{{write, 1, 20, 20}, {read, 2, 20.5, 20.5}}},
 		"older version in an overlapping request":               {probes: []probe{{write, 1, 20, 21}, {read, 1, 20.5, 20.5}}},
@@ -74,8 +74,8 @@
 				calls = append(calls, made)
 			}
 			s.checkChanges(calls, runs)
-			c.Check(len(s.report.Broken), qt.Equals, s.report.WentBack+s.report.LateChanges+s.report.Invalid)
-			s.report.Broken, s.report.Versions = nil, nil
+			c.Check(len(s.report.Violations), qt.Equals, s.report.RolledBack+s.report.LateChanges+s.report.Invalid)
+			s.report.Violations, s.report.Versions = nil, nil
 			c.Check(s.report, qt.DeepEquals, row.want)
 		})
 	}
--- a/internal/bench/storesoak/check_test.go
+++ b/internal/bench/storesoak/check_test.go
@@ -43,9 +43,9 @@
 		want  Report
 	}{
 		"served":                      {call: answered(write(), 200), runs: []run{ran}},
-		"ran twice":                   {call: answered(write(), 200), runs: []run{ran, ran}, want: Report{Doubled: 1}},
+		"ran twice":                   {call: answered(write(), 200), runs: []run{ran, ran}, want: Report{RanTwice: 1}},
 		"refused, did not run":        {call: &call{id: "c", kind: kindWrite, status: 503, retryAfter: "0.1", sent: at(20), ended: at(20)}},
-		"refused without Retry-After": {call: &call{id: "c", kind: kindWrite, status: 503, sent: at(20), ended: at(20)}, want: Report{Untold: 1}},
+		"refused without Retry-After": {call: &call{id: "c", kind: kindWrite, status: 503, sent: at(20), ended: at(20)}, want: Report{NoRetryAfter: 1}},
 		"refused and ran":             {call: &call{id: "c", kind: kindWrite, status: 503, retryAfter: "0.1", sent: at(20), ended: at(20)}, runs: []run{ran}, want: Report{RanRefused: 1}},
 		"a safe call ran twice": {
 			call: answered(&call{id: "c", kind: kindRead, sent: at(20), ended: at(20)}, 200), runs: []run{ran, ran},
@@ -67,10 +67,10 @@
 			s := newTestSoak()
 			s.history.spans = row.spans
 			s.checkCall(row.call, row.runs)
-			found := len(s.report.Broken) > 0
-			s.report.Broken = nil
+			found := len(s.report.Violations) > 0
+			s.report.Violations = nil
 			c.Check(s.report, qt.DeepEquals, row.want)
-			c.Check(found, qt.Equals, s.report.Doubled+s.report.RanRefused+s.report.Wrong+s.report.Untold+s.report.Lost+s.report.LateAnswers > 0)
+			c.Check(found, qt.Equals, s.report.RanTwice+s.report.RanRefused+s.report.Wrong+s.report.NoRetryAfter+s.report.Lost+s.report.LateAnswers > 0)
 		})
 	}
 }
--- a/internal/bench/storesoak/cold.go
+++ b/internal/bench/storesoak/cold.go
@@ -34,7 +34,7 @@
 	for _, m := range s.fleet.machines {
 		for _, emulated := range m.instances() {
 			if emulated.Overloaded() {
-				s.report.FellOver++
+				s.report.ColdOverloads++
 				s.violation("%s received more than %d requests within a second while it was cold", emulated.Name, coldOverloadPerSecond)
 			}
 		}
--- a/internal/bench/storesoak/crash.go
+++ b/internal/bench/storesoak/crash.go
@@ -88,7 +88,7 @@
 	}
 	for _, c := range calls {
 		if !c.crashesInstances() && c.status == http.StatusServiceUnavailable && strings.Contains(c.responseBody, crashRefusalText) {
-			s.report.ShutOut++
+			s.report.WronglyRefused++
 			s.violation("%s was refused as a request that crashes instances, which it is not", c.id)
 		}
 	}
--- a/internal/bench/storesoak/soak.go
+++ b/internal/bench/storesoak/soak.go
@@ -90,7 +90,7 @@
 	defer running.close()
 	s := &soak{
 		options: options, fleet: running, random: rand.New(rand.NewPCG(options.Seed, options.Seed)),
-		callers: newCallers(running, options.Seed), report: Report{Seed: options.Seed, Broken: []string{}},
+		callers: newCallers(running, options.Seed), report: Report{Seed: options.Seed, Violations: []string{}},
 	}
 	s.history.recordStart(running, began)
 	err = s.run(ctx)
@@ -259,5 +259,5 @@
 func (s *soak) violation(format string, values ...any) {
 	text := fmt.Sprintf(format, values...)
 	s.progress("BROKEN: %s", text)
-	s.report.Broken = append(s.report.Broken, text)
+	s.report.Violations = append(s.report.Violations, text)
 }
