--- a/internal/bench/command/store_soak.go
+++ b/internal/bench/command/store_soak.go
@@ -84,7 +84,7 @@
 	for i := range c.Seeds {
 		tests = append(tests, storesoak.Options{
 			Seed: c.Seed + uint64(i), Machines: c.Machines, Zones: c.Zones, Routes: c.Routes, SlowestLink: c.SlowestLink,
-			Busy: c.Busy, Faults: c.Faults, Rate: c.Rate, CrashRate: c.CrashRate, LeaveRate: c.LeaveRate, RestoreShare: c.RestoreShare,
+			CPULoadProcesses: c.Busy, Faults: c.Faults, Rate: c.Rate, CrashRate: c.CrashRate, ReplacementRate: c.LeaveRate, RestoreShare: c.RestoreShare,
 		})
 	}
 	return tests
--- a/internal/bench/storesoak/regressions.go
+++ b/internal/bench/storesoak/regressions.go
@@ -3,15 +3,15 @@
 // Regression holds the settings of a soak that once violated a guarantee.
 type Regression struct {
 	Seed uint64
-	// Machines, Zones, Routes, SlowestLink, Busy, Faults and Rate are as in Options.
-	Machines, Zones, Routes int
-	SlowestLink             float64
-	Busy, Faults            int
-	Rate                    float64
+	// Machines, Zones, Routes, SlowestLink, CPULoadProcesses, Faults and Rate are as in Options.
+	Machines, Zones, Routes  int
+	SlowestLink              float64
+	CPULoadProcesses, Faults int
+	Rate                     float64
 	// CrashRate is as in Options.
 	CrashRate float64
-	// LeaveRate is as in Options.
-	LeaveRate float64
+	// ReplacementRate is as in Options.
+	ReplacementRate float64
 	// RestoreShare is as in Options.
 	RestoreShare float64
 	// Kinds is how many kinds of faults existed when the violation was found.
@@ -23,8 +23,8 @@
 // Options returns the options of the soak, without the binary and the outputs.
 func (r Regression) Options() Options {
 	return Options{
-		Seed: r.Seed, Machines: r.Machines, Zones: r.Zones, Routes: r.Routes, SlowestLink: r.SlowestLink, Busy: r.Busy,
-		Faults: r.Faults, Rate: r.Rate, CrashRate: r.CrashRate, LeaveRate: r.LeaveRate, RestoreShare: r.RestoreShare, Kinds: r.Kinds,
+		Seed: r.Seed, Machines: r.Machines, Zones: r.Zones, Routes: r.Routes, SlowestLink: r.SlowestLink, CPULoadProcesses: r.CPULoadProcesses,
+		Faults: r.Faults, Rate: r.Rate, CrashRate: r.CrashRate, ReplacementRate: r.ReplacementRate, RestoreShare: r.RestoreShare, Kinds: r.Kinds,
 	}
 }
 
@@ -33,15 +33,15 @@
 // runs; therefore each cause also has its own deterministic test.
 var Regressions = []Regression{
 	{
-		Seed: 32, Machines: 74, Zones: 3, Routes: 3000, SlowestLink: 10, Busy: 8, Faults: 14, Rate: 300, Kinds: 20,
+		Seed: 32, Machines: 74, Zones: 3, Routes: 3000, SlowestLink: 10, CPULoadProcesses: 8, Faults: 14, Rate: 300, Kinds: 20,
 		Cause: "reads of the store hit their own timeout and started over from the beginning (TestStoreLargeChangeOnASlowLink)",
 	},
 	{
-		Seed: 42, Machines: 74, Zones: 3, Routes: 3000, SlowestLink: 10, Busy: 8, Faults: 14, Rate: 300, Kinds: 20,
+		Seed: 42, Machines: 74, Zones: 3, Routes: 3000, SlowestLink: 10, CPULoadProcesses: 8, Faults: 14, Rate: 300, Kinds: 20,
 		Cause: "readers that got a Retry-After of 5 s all waited that long (TestSourceReturnsBeforeItSaid)",
 	},
 	{
-		Seed: 5002, Machines: 80, Zones: 4, Routes: 3000, SlowestLink: 5, Faults: 10, Rate: 200, LeaveRate: 3, Kinds: 22,
+		Seed: 5002, Machines: 80, Zones: 4, Routes: 3000, SlowestLink: 5, Faults: 10, Rate: 200, ReplacementRate: 3, Kinds: 22,
 		Cause: "a list with an unusable configuration kept an old one in force (TestListWithABadConfigurationIsNotOlder)",
 	},
 }
--- a/internal/bench/storesoak/soak.go
+++ b/internal/bench/storesoak/soak.go
@@ -25,17 +25,17 @@
 	Routes int
 	// SlowestLink is the rate of the slowest machines' links in Mbit/s; zero: no limit.
 	SlowestLink float64
-	// Busy is how many further processes each keep one CPU busy.
-	Busy int
+	// CPULoadProcesses is how many further processes each keep one CPU busy.
+	CPULoadProcesses int
 	// Faults is how many faults are injected.
 	Faults int
 	// Rate is the average number of calls per second.
 	Rate float64
 	// CrashRate is how many calls per second crash the instances that run them; zero: none.
 	CrashRate float64
-	// LeaveRate is how many instances per second are drained and replaced in addition to the
+	// ReplacementRate is how many instances per second are drained and replaced in addition to the
 	// faults; configuration changes then come in quick succession. Zero: none.
-	LeaveRate float64
+	ReplacementRate float64
 	// RestoreShare is the share of faults that restore the store from a backup; the others are
 	// drawn from all kinds.
 	RestoreShare float64
@@ -75,7 +75,7 @@
 // Run runs a soak. It returns an error if the soak could not be run; violated guarantees are in
 // the report.
 func Run(ctx context.Context, options Options) (Report, error) {
-	stopBusy, err := startCPULoad(ctx, options.Busy)
+	stopBusy, err := startCPULoad(ctx, options.CPULoadProcesses)
 	if err != nil {
 		return Report{}, err
 	}
@@ -133,8 +133,8 @@
 	replacementsEnded := make(chan struct{})
 	go func() {
 		defer close(replacementsEnded)
-		if s.options.LeaveRate > 0 {
-			s.replaceInstances(background, s.options.LeaveRate)
+		if s.options.ReplacementRate > 0 {
+			s.replaceInstances(background, s.options.ReplacementRate)
 		}
 	}()
 	go s.fleet.backups.run(background, s.fleet.store)
@@ -222,7 +222,7 @@
 	const oneIn = 3
 	end := time.Now().Add(duration)
 	shortest, longest := shortestPause, longestPause
-	if s.random.IntN(oneIn) == 0 || s.options.LeaveRate > 0 {
+	if s.random.IntN(oneIn) == 0 || s.options.ReplacementRate > 0 {
 		shortest, longest = shortestGap, longestGap
 	}
 	for withChanges && time.Now().Before(end) {
--- a/internal/bench/storesoak/storesoak_test.go
+++ b/internal/bench/storesoak/storesoak_test.go
@@ -25,9 +25,9 @@
 	}, {
 		Seed: 3, Machines: 12, Zones: 3, Routes: 20, Faults: 5, Rate: 60, CrashRate: 6, Cause: "requests that crash instances",
 	}, {
-		Seed: 4, Machines: 12, Zones: 3, Routes: 1000, SlowestLink: 10, Faults: 4, Rate: 100, LeaveRate: 1.5, Cause: "instances that are replaced during large configuration changes",
+		Seed: 4, Machines: 12, Zones: 3, Routes: 1000, SlowestLink: 10, Faults: 4, Rate: 100, ReplacementRate: 1.5, Cause: "instances that are replaced during large configuration changes",
 	}, {
-		Seed: 5, Machines: 12, Zones: 3, Routes: 200, Faults: 5, Rate: 100, LeaveRate: 1, RestoreShare: 0.6, Cause: "a store that is restored from a backup",
+		Seed: 5, Machines: 12, Zones: 3, Routes: 200, Faults: 5, Rate: 100, ReplacementRate: 1, RestoreShare: 0.6, Cause: "a store that is restored from a backup",
 	}}
 	for _, each := range storesoak.Regressions {
 		if each.Machines == storesoak.MinMachines { // the command replays the larger ones
@@ -55,7 +55,7 @@
 			c.Check(report.Crashes > 0, qt.Equals, each.CrashRate > 0)
 			c.Check(report.AfterThirdCrash <= 3, qt.IsTrue)
 			c.Check(report.WronglyRefused, qt.Equals, 0)
-			c.Check(report.Withdrawals > 0 || each.LeaveRate == 0, qt.IsTrue)
+			c.Check(report.Withdrawals > 0 || each.ReplacementRate == 0, qt.IsTrue)
 		})
 	}
 }
