--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	r.printf("starting the platform, %d back ends and %d nodes over loopback TCP", len(r.mesh.Backends()), len(r.mesh.Nodes()))
-	if err := r.mesh.AwaitWhole(ctx); err != nil {
+	if err := r.mesh.AwaitComplete(ctx); err != nil {
 		return eris.Wrap(err, "not every node became ready and saw all instances")
 	}
 	r.printf("every node holds revision %d, which has no policy yet, and sees every instance", r.mesh.Platform.Version().Revision)
--- a/internal/bench/goodput/goodput.go
+++ b/internal/bench/goodput/goodput.go
@@ -131,7 +131,7 @@
 func offerLoads(ctx context.Context, running *mesh.Mesh, options Options, variant Variant, chain chain) (Curve, error) {
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := running.AwaitWhole(startCtx); err != nil {
+	if err := running.AwaitComplete(startCtx); err != nil {
 		return Curve{}, err
 	}
 	curve := Curve{Variant: variant.Name}
--- a/internal/bench/mesh/await.go
+++ b/internal/bench/mesh/await.go
@@ -129,9 +129,9 @@
 	return ready
 }
 
-// AwaitWhole waits until every node is ready and sees every instance of the
+// AwaitComplete waits until every node is ready and sees every instance of the
 // deployment.
-func (m *Mesh) AwaitWhole(ctx context.Context) error {
+func (m *Mesh) AwaitComplete(ctx context.Context) error {
 	if err := m.AwaitReady(ctx); err != nil {
 		return err
 	}
--- a/internal/bench/overhead/overhead.go
+++ b/internal/bench/overhead/overhead.go
@@ -112,7 +112,7 @@
 func publishRoute(ctx context.Context, running *mesh.Mesh, target *mesh.Node) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := running.AwaitWhole(ctx); err != nil {
+	if err := running.AwaitComplete(ctx); err != nil {
 		return err
 	}
 	program := fmt.Sprintf("route(name=\"all\", host=%q, path=%q, to=%q, spill_over=1.0)\n", hostName, path, target.Service())
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -100,7 +100,7 @@
 func (r *run) soak(ctx context.Context) error {
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := r.mesh.AwaitWhole(startCtx); err != nil {
+	if err := r.mesh.AwaitComplete(startCtx); err != nil {
 		return eris.Wrap(err, "not every node became ready and saw all instances")
 	}
 	r.monitor = startMonitor(ctx, r.mesh)
@@ -222,7 +222,7 @@
 func (r *run) awaitRecovery(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	if err := r.mesh.AwaitWhole(ctx); err != nil {
+	if err := r.mesh.AwaitComplete(ctx); err != nil {
 		return err
 	}
 	_, err := r.mesh.AwaitRevision(ctx, r.mesh.Platform.Version().Revision)
--- a/test/integration/claims_test.go
+++ b/test/integration/claims_test.go
@@ -32,7 +32,7 @@
 		qt.Assert(t, lost.Kill(), qt.IsNil)
 		qt.Assert(t, lost.Start(ctx), qt.IsNil)
 	}
-	qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+	qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 
 	// Until the edge knows the new processes, it may refuse the booking as not run.
 	again := load.Send(transport, running.Node("edge-2").Outbound(), booking, time.Now())
--- a/test/integration/drain_test.go
+++ b/test/integration/drain_test.go
@@ -42,11 +42,11 @@
 	{"every node and back end is replaced", guaranteePlannedStop, func(ctx context.Context, t *testing.T, m *mesh.Mesh, calling *callers) {
 		for _, node := range m.Nodes() {
 			qt.Assert(t, node.Replace(ctx), qt.IsNil)
-			qt.Assert(t, m.AwaitWhole(ctx), qt.IsNil)
+			qt.Assert(t, m.AwaitComplete(ctx), qt.IsNil)
 		}
 		for _, instance := range m.Backends() {
 			leaveAndReturn(ctx, t, m, instance, calling)
-			qt.Assert(t, m.AwaitWhole(ctx), qt.IsNil)
+			qt.Assert(t, m.AwaitComplete(ctx), qt.IsNil)
 		}
 	}},
 }
@@ -101,7 +101,7 @@
 			calling := startCallers(t, running, callTimeout)
 			calling.awaitMore(ctx, t, callsBefore, nil)
 			row.leave(ctx, t, running, calling)
-			qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+			qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 			calling.awaitMore(ctx, t, callsBefore, nil)
 			results := calling.stop()
 			t.Logf("%v", classes(results))
--- a/test/integration/examples_test.go
+++ b/test/integration/examples_test.go
@@ -41,7 +41,7 @@
 			running, err := mesh.Start(ctx, mesh.Options{Deployment: plan, Binary: winchheadBinary, Logs: nodeLogs(t)})
 			qt.Assert(t, err, qt.IsNil)
 			t.Cleanup(func() { qt.Check(t, running.Close(), qt.IsNil) })
-			qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+			qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 			record, err := load.Run(ctx, load.Options{
 				Rate: callsPerSecond, Duration: seconds * time.Second, Entries: running.Entries,
 				Plan: workload.Planner(name, 1), Transport: load.NewTransport(),
--- a/test/integration/faults_test.go
+++ b/test/integration/faults_test.go
@@ -234,7 +234,7 @@
 	})
 	calling.awaitSince(ctx, t, before, callsDuring, nil)
 	qt.Assert(t, row.end(ctx, running), qt.IsNil)
-	qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+	qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 	_, err := running.AwaitRevision(ctx, revision)
 	qt.Assert(t, err, qt.IsNil)
 	calling.awaitMore(ctx, t, callsBefore, answered)
--- a/test/integration/guarantees_test.go
+++ b/test/integration/guarantees_test.go
@@ -65,7 +65,7 @@
 	waiting.Wait()
 	qt.Assert(t, running.Node(targetNode).Resume(), qt.IsNil)
 	running.Backend(peer).EndDrain()
-	qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+	qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 
 	after := startCallers(t, running, callTimeout)
 	after.awaitMore(ctx, t, callsBefore, answered)
--- a/test/integration/mesh_test.go
+++ b/test/integration/mesh_test.go
@@ -36,7 +36,7 @@
 	running, err := mesh.Start(testContext(t), options)
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { qt.Check(t, running.Close(), qt.IsNil) })
-	qt.Assert(t, running.AwaitWhole(testContext(t)), qt.IsNil)
+	qt.Assert(t, running.AwaitComplete(testContext(t)), qt.IsNil)
 	return running
 }
 
--- a/test/integration/sessions_test.go
+++ b/test/integration/sessions_test.go
@@ -69,7 +69,7 @@
 		qt.Assert(t, node.Stop(ctx), qt.IsNil)
 		stepAll()
 		qt.Assert(t, node.Start(ctx), qt.IsNil)
-		qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+		qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 		stepAll()
 	}
 }
