--- a/internal/bench/mesh/platform.go
+++ b/internal/bench/mesh/platform.go
@@ -31,11 +31,11 @@
 		return nil, eris.Wrap(err, "parse the platform URL")
 	}
 	p := &Platform{Platform: emulated, address: target.Host}
-	return p, p.Return()
+	return p, p.EndOutage()
 }
 
-// Return ends an Outage: the platform serves again.
-func (p *Platform) Return() error {
+// EndOutage ends an outage: the platform serves again.
+func (p *Platform) EndOutage() error {
 	listener, err := net.Listen("tcp", p.address)
 	if err != nil {
 		return eris.Wrap(err, "serve the platform")
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Outage closes all connections and refuses new ones until Return.
-func (p *Platform) Outage() error {
+// BeginOutage closes all connections and refuses new ones until EndOutage.
+func (p *Platform) BeginOutage() error {
 	if p.cancel == nil {
 		return nil
 	}
@@ -57,4 +57,4 @@
 	return <-p.served
 }
 
-func (p *Platform) close() error { return p.Outage() }
+func (p *Platform) close() error { return p.BeginOutage() }
--- a/internal/bench/soak/faults.go
+++ b/internal/bench/soak/faults.go
@@ -140,8 +140,8 @@
 func platformOutage(_ *rand.Rand, running *mesh.Mesh) injectedFault {
 	return injectedFault{
 		name:  "configuration source down",
-		begin: func(context.Context) error { return running.Platform.Outage() },
-		undo:  func(context.Context) error { return running.Platform.Return() },
+		begin: func(context.Context) error { return running.Platform.BeginOutage() },
+		undo:  func(context.Context) error { return running.Platform.EndOutage() },
 	}
 }
 
--- a/test/integration/faults_test.go
+++ b/test/integration/faults_test.go
@@ -194,8 +194,8 @@
 	},
 	{
 		name: "configuration source down", guarantee: guaranteeInForce,
-		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Platform.Outage() },
-		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Platform.Return() },
+		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Platform.BeginOutage() },
+		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Platform.EndOutage() },
 		awaited: []load.Class{load.Answered},
 	},
 }
