--- a/internal/app/store_silence_test.go
+++ b/internal/app/store_silence_test.go
@@ -15,18 +15,18 @@
 
 // startBehindProxies runs the nodes. Those beside instances of data get requests through
 // the returned proxies. A proxy falls silent after the first report of progress.
-func (r *storeHarness) startBehindProxies() (proxies []*faultproxy.Silencer) {
+func (r *storeHarness) startBehindProxies() (proxies []*faultproxy.StallingProxy) {
 	for i, m := range r.machines {
 		configured := r.settings(i, r.url)
 		if m.service == "data" {
 			configured.Inbound.Listen = fmt.Sprintf("%s:%d", m.ip, freePorts(r.c, 1)[0])
 			var (
-				proxy *faultproxy.Silencer
+				proxy *faultproxy.StallingProxy
 				err   error
 			)
-			proxy, err = faultproxy.NewSilencer(fmt.Sprintf("%s:%d", m.ip, r.inbound), configured.Inbound.Listen, func(piece []byte) {
+			proxy, err = faultproxy.NewStallingProxy(fmt.Sprintf("%s:%d", m.ip, r.inbound), configured.Inbound.Listen, func(piece []byte) {
 				if bytes.Contains(piece, []byte("102 Processing")) {
-					proxy.FallSilent()
+					proxy.StallOpenConnections()
 				}
 			})
 			r.c.Assert(err, qt.IsNil)
@@ -58,7 +58,7 @@
 			t.Parallel()
 			var mutex sync.Mutex
 			begun := false
-			var proxies []*faultproxy.Silencer
+			var proxies []*faultproxy.StallingProxy
 			r := newStoreHarness(t, []string{"front", "data", "data"}, func(_ int, emulated *instance.Instance) {
 				emulated.Work = func(_ string, gone <-chan struct{}) {
 					mutex.Lock()
@@ -68,7 +68,7 @@
 					if isFirst {
 						if row.runs == 1 { // no progress is requested, which would silence the proxies
 							for _, proxy := range proxies {
-								proxy.FallSilent()
+								proxy.StallOpenConnections()
 							}
 						}
 						<-gone
--- a/internal/bench/faultproxy/silencer.go
+++ b/internal/bench/faultproxy/silencer.go
@@ -8,25 +8,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Silencer is a TCP proxy that can stall its open connections: after FallSilent they stay
+// StallingProxy is a TCP proxy that can stall its open connections: after StallOpenConnections they stay
 // open without a reset, but nothing more is forwarded on them in either direction. Later
 // connections work. toxiproxy can't tell open connections from later ones.
-type Silencer struct {
+type StallingProxy struct {
 	upstream  string
 	listener  net.Listener
 	onForward func(chunk []byte)
 
 	mutex sync.Mutex
-	// generation counts the calls of FallSilent; connections of earlier generations are silent.
+	// generation counts the calls of StallOpenConnections; connections of earlier generations are silent.
 	generation int
 	closed     bool
 	conns      map[net.Conn]struct{}
 }
 
-// NewSilencer listens on listen (IP:port, port 0 for any free port) and forwards to
+// NewStallingProxy listens on listen (IP:port, port 0 for any free port) and forwards to
 // upstream. onForward, unless it is nil, is called with each chunk that was forwarded, and
-// may call FallSilent.
-func NewSilencer(listen, upstream string, onForward func(chunk []byte)) (*Silencer, error) {
+// may call StallOpenConnections.
+func NewStallingProxy(listen, upstream string, onForward func(chunk []byte)) (*StallingProxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, eris.Wrapf(err, "silencer: listen on %s", listen)
@@ -34,23 +34,23 @@
 	if onForward == nil {
 		onForward = func([]byte) {}
 	}
-	s := &Silencer{upstream: upstream, listener: listener, onForward: onForward, conns: make(map[net.Conn]struct{})}
+	s := &StallingProxy{upstream: upstream, listener: listener, onForward: onForward, conns: make(map[net.Conn]struct{})}
 	go s.accept()
 	return s, nil
 }
 
-// Address returns the address that the Silencer listens on (IP:port).
-func (s *Silencer) Address() string { return s.listener.Addr().String() }
+// Address returns the address that the StallingProxy listens on (IP:port).
+func (s *StallingProxy) Address() string { return s.listener.Addr().String() }
 
-// FallSilent stops forwarding on the connections that are open now.
-func (s *Silencer) FallSilent() {
+// StallOpenConnections stops forwarding on the connections that are open now.
+func (s *StallingProxy) StallOpenConnections() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.generation++
 }
 
 // Close closes the listener and all connections, including the silent ones.
-func (s *Silencer) Close() {
+func (s *StallingProxy) Close() {
 	_ = s.listener.Close()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *Silencer) accept() {
+func (s *StallingProxy) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *Silencer) connect(client net.Conn) {
+func (s *StallingProxy) connect(client net.Conn) {
 	server, err := net.Dial("tcp", s.upstream)
 	if err != nil {
 		_ = client.Close()
@@ -97,7 +97,7 @@
 }
 
 // forward copies one direction until it ends or the connection is silent.
-func (s *Silencer) forward(from, to net.Conn, generation int) {
+func (s *StallingProxy) forward(from, to net.Conn, generation int) {
 	chunk := make([]byte, 16<<10)
 	for {
 		count, err := from.Read(chunk)
@@ -120,13 +120,13 @@
 	}
 }
 
-func (s *Silencer) isSilent(generation int) bool {
+func (s *StallingProxy) isSilent(generation int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.generation != generation
 }
 
-func (s *Silencer) closeConns(conns ...net.Conn) {
+func (s *StallingProxy) closeConns(conns ...net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, conn := range conns {
--- a/internal/bench/faultproxy/silencer_test.go
+++ b/internal/bench/faultproxy/silencer_test.go
@@ -12,9 +12,9 @@
 	"github.com/winchhead/winchhead/internal/bench/faultproxy"
 )
 
-// TestSilencer checks that FallSilent stalls open connections without closing them,
+// TestStallingProxy checks that StallOpenConnections stalls open connections without closing them,
 // and that later connections work.
-func TestSilencer(t *testing.T) {
+func TestStallingProxy(t *testing.T) {
 	c := qt.New(t)
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -34,7 +34,7 @@
 			}()
 		}
 	}()
-	silencer, err := faultproxy.NewSilencer("127.0.0.1:0", echo.Addr().String(), nil)
+	silencer, err := faultproxy.NewStallingProxy("127.0.0.1:0", echo.Addr().String(), nil)
 	c.Assert(err, qt.IsNil)
 	defer silencer.Close()
 	dial := func() (net.Conn, *bufio.Reader) {
@@ -50,7 +50,7 @@
 	}
 	old, oldReader := dial()
 	defer old.Close()
-	silencer.FallSilent()
+	silencer.StallOpenConnections()
 	_, err = old.Write([]byte("second\n"))
 	c.Assert(err, qt.IsNil)
 	later, _ := dial()
--- a/internal/bench/storesoak/links.go
+++ b/internal/bench/storesoak/links.go
@@ -35,14 +35,14 @@
 // connections fall silent.
 type linkProxy struct {
 	*faultproxy.Proxy
-	silencer *faultproxy.Silencer
+	silencer *faultproxy.StallingProxy
 	rate     int64
 }
 
 // newLinkProxy starts a proxy at listen that forwards to upstream through a silencer at
 // silencerListen.
 func newLinkProxy(name, listen, silencerListen, upstream string, rate int64) (*linkProxy, error) {
-	silencer, err := faultproxy.NewSilencer(silencerListen, upstream, nil)
+	silencer, err := faultproxy.NewStallingProxy(silencerListen, upstream, nil)
 	if err != nil {
 		return nil, err
 	}
