--- a/internal/bench/command/platform.go
+++ b/internal/bench/command/platform.go
@@ -74,7 +74,7 @@
 	}
 	plan := &deployment.Deployment{Nodes: nodes}
 	if host != "" {
-		if plan, err = plan.On(host); err != nil {
+		if plan, err = plan.WithHost(host); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -213,7 +213,7 @@
 
 func (r *run) audit(context.Context) error {
 	audit := r.caller.audit()
-	if !audit.Kept() {
+	if !audit.Passed() {
 		return eris.Errorf("the back ends' journals contradict the outcomes that callers got: %+v", audit)
 	}
 	r.printf("the back ends' journals agree: no request ran twice, none was lost and no refused request ran")
--- a/internal/bench/deployment/deployment_test.go
+++ b/internal/bench/deployment/deployment_test.go
@@ -62,7 +62,7 @@
 func TestOnReplacesEveryAddress(t *testing.T) {
 	plan, err := deployment.Load(filepath.Join("..", "..", "..", "examples", "kerlann"))
 	qt.Assert(t, err, qt.IsNil)
-	moved, err := plan.On("127.9.9.9")
+	moved, err := plan.WithHost("127.9.9.9")
 	qt.Assert(t, err, qt.IsNil)
 	for i, node := range moved.Nodes {
 		for _, address := range []string{node.Peers.Listen, node.Outbound.Listen, node.Inbound.Listen, node.Inbound.Backend, node.Admin.Listen, node.Member().PeerAddress, node.Platform.URL[len("http://"):]} {
--- a/internal/bench/deployment/move.go
+++ b/internal/bench/deployment/move.go
@@ -9,9 +9,9 @@
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
-// On returns the deployment with the IP of every address replaced by host, so that
+// WithHost returns the deployment with the IP of every address replaced by host, so that
 // several deployments can run on one machine. The ports stay the same.
-func (d *Deployment) On(host string) (*Deployment, error) {
+func (d *Deployment) WithHost(host string) (*Deployment, error) {
 	return d.Map(func(node Node) (settings.Overrides, error) { return addressesOn(node.Settings, host) })
 }
 
--- a/internal/bench/load/audit.go
+++ b/internal/bench/load/audit.go
@@ -38,8 +38,8 @@
 	Wrong []string `json:"wrong"`
 }
 
-// Kept reports whether all guarantees were kept.
-func (a Audit) Kept() bool {
+// Passed reports whether all guarantees were kept.
+func (a Audit) Passed() bool {
 	return len(a.Doubled)+len(a.Lost)+len(a.RanThoughRefused)+len(a.Wrong) == 0
 }
 
--- a/internal/bench/load/load_test.go
+++ b/internal/bench/load/load_test.go
@@ -165,6 +165,6 @@
 		Doubled: []string{"twice", "chained"}, Lost: []string{"gone"},
 		RanThoughRefused: []string{"refused-but-ran"}, Wrong: []string{"foreign"},
 	})
-	qt.Assert(t, audit.Kept(), qt.IsFalse)
-	qt.Assert(t, load.Audit{}.Kept(), qt.IsTrue)
+	qt.Assert(t, audit.Passed(), qt.IsFalse)
+	qt.Assert(t, load.Audit{}.Passed(), qt.IsTrue)
 }
--- a/internal/bench/mesh/mesh.go
+++ b/internal/bench/mesh/mesh.go
@@ -87,7 +87,7 @@
 	if host == "" {
 		host = NextHost()
 	}
-	moved, err := m.options.Deployment.On(host)
+	moved, err := m.options.Deployment.WithHost(host)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/bench/repeatjudge/repeatjudge.go
+++ b/internal/bench/repeatjudge/repeatjudge.go
@@ -16,13 +16,13 @@
 	Window       time.Duration
 }
 
-// Seen holds the times of the requests for one service and of their repeated arrivals.
-type Seen struct {
+// Observations holds the times of the requests for one service and of their repeated arrivals.
+type Observations struct {
 	// Requests are the times of the requests sent to the service, whether they arrived or not.
 	Requests []time.Duration
-	// Beyond are the times of the arrivals beyond the first of each request, and of all
+	// Repeats are the times of the arrivals beyond the first of each request, and of all
 	// arrivals of onward calls made by repeated runs.
-	Beyond []time.Duration
+	Repeats []time.Duration
 }
 
 // Window describes one time window and how much of the bound it used.
@@ -43,8 +43,8 @@
 // Worst returns the window that used the largest share of the bound. The requests of a
 // window are those in it, in the window before it or in the window that starts half a window
 // earlier, whichever has most.
-func (s Seen) Worst(bound Bound) (worst Window) {
-	requests, beyond := slices.Sorted(slices.Values(s.Requests)), slices.Sorted(slices.Values(s.Beyond))
+func (s Observations) Worst(bound Bound) (worst Window) {
+	requests, beyond := slices.Sorted(slices.Values(s.Requests)), slices.Sorted(slices.Values(s.Repeats))
 	for _, from := range beyond {
 		window := Window{
 			From: from, Beyond: countBetween(beyond, from, from+bound.Window),
--- a/internal/bench/repeatjudge/repeatjudge_test.go
+++ b/internal/bench/repeatjudge/repeatjudge_test.go
@@ -20,24 +20,24 @@
 func TestWorst(t *testing.T) {
 	bound := repeatjudge.Bound{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 	for name, row := range map[string]struct {
-		seen repeatjudge.Seen
+		seen repeatjudge.Observations
 		want repeatjudge.Window
 	}{
 		"no requests": {},
 		"all requests and repeats in one window": {
-			repeatjudge.Seen{Requests: every(100*time.Millisecond, 0, 10*time.Second), Beyond: every(time.Second, 0, 10*time.Second)},
+			repeatjudge.Observations{Requests: every(100*time.Millisecond, 0, 10*time.Second), Repeats: every(time.Second, 0, 10*time.Second)},
 			repeatjudge.Window{Share: 10.0 / 30, Beyond: 10, Requests: 100, Allowed: 30},
 		},
 		"requests in the window before the repeats": {
-			repeatjudge.Seen{Requests: every(100*time.Millisecond, 0, 10*time.Second), Beyond: every(100*time.Millisecond, 10*time.Second, 14*time.Second)},
+			repeatjudge.Observations{Requests: every(100*time.Millisecond, 0, 10*time.Second), Repeats: every(100*time.Millisecond, 10*time.Second, 14*time.Second)},
 			repeatjudge.Window{Share: 40.0 / 30, From: 10 * time.Second, Beyond: 40, Requests: 100, Allowed: 30},
 		},
 		"repeats at both ends of a window": {
-			repeatjudge.Seen{Beyond: []time.Duration{0, 10 * time.Second}},
+			repeatjudge.Observations{Repeats: []time.Duration{0, 10 * time.Second}},
 			repeatjudge.Window{Share: 0.2, Beyond: 2, Allowed: 10},
 		},
 		"repeats in two windows": {
-			repeatjudge.Seen{Beyond: []time.Duration{0, 10*time.Second + 1}},
+			repeatjudge.Observations{Repeats: []time.Duration{0, 10*time.Second + 1}},
 			repeatjudge.Window{Share: 0.1, Beyond: 1, Allowed: 10},
 		},
 	} {
--- a/internal/bench/storesoak/nested.go
+++ b/internal/bench/storesoak/nested.go
@@ -140,10 +140,10 @@
 // observed returns the requests that callers and instances sent to a service and its repeated
 // arrivals, with their times relative to since. All arrivals of nested calls that a retried
 // run made count as repeated.
-func (n *nestedCalls) observed(service string, since time.Time, calls []*call) repeatjudge.Seen {
+func (n *nestedCalls) observed(service string, since time.Time, calls []*call) repeatjudge.Observations {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var seen repeatjudge.Seen
+	var seen repeatjudge.Observations
 	for _, each := range calls {
 		if each.service() == service {
 			seen.Requests = append(seen.Requests, each.sent.Sub(since))
@@ -157,7 +157,7 @@
 	for id, arrivals := range n.arrivals {
 		for number, each := range arrivals {
 			if each.service == service && (number > 0 || n.calls[id].ofRetry) {
-				seen.Beyond = append(seen.Beyond, each.at.Sub(since))
+				seen.Repeats = append(seen.Repeats, each.at.Sub(since))
 			}
 		}
 	}
--- a/internal/dataplane/budget/fleet_test.go
+++ b/internal/dataplane/budget/fleet_test.go
@@ -63,7 +63,7 @@
 	events  eventHeap
 	nodes   []*fleetNode
 	nodesOf [3][]*fleetNode
-	seen    [3]repeatjudge.Seen
+	seen    [3]repeatjudge.Observations
 	repeats int
 }
 
@@ -148,7 +148,7 @@
 		return
 	}
 	if repeat {
-		f.seen[service].Beyond = append(f.seen[service].Beyond, f.now.Sub(f.began))
+		f.seen[service].Repeats = append(f.seen[service].Repeats, f.now.Sub(f.began))
 		f.repeats++
 	}
 	retry := func(failed bool) {
--- a/test/integration/mesh_test.go
+++ b/test/integration/mesh_test.go
@@ -225,7 +225,7 @@
 // back end got more requests or connections at once than it allows.
 func assertGuarantees(t testing.TB, running *mesh.Mesh, results []load.Result) {
 	audit := load.Check(results, running.Journal())
-	qt.Assert(t, audit.Kept(), qt.IsTrue, qt.Commentf("%+v", audit))
+	qt.Assert(t, audit.Passed(), qt.IsTrue, qt.Commentf("%+v", audit))
 	for _, instance := range running.Backends() {
 		statistics := instance.Statistics()
 		qt.Assert(t, statistics.SlotViolations, qt.Equals, int64(0))
--- a/test/integration/whole_path_test.go
+++ b/test/integration/whole_path_test.go
@@ -28,7 +28,7 @@
 	at := func(port string) string { return net.JoinHostPort(host, port) }
 	plan, err := deployment.Load("testdata/small")
 	qt.Assert(t, err, qt.IsNil)
-	plan, err = plan.On(host)
+	plan, err = plan.WithHost(host)
 	qt.Assert(t, err, qt.IsNil)
 
 	startProgram(t, benchBinary, "platform", "--listen", at("22000"), "--operators", at("22001"),
