--- a/internal/bench/storesoak/regressions.go
+++ b/internal/bench/storesoak/regressions.go
@@ -42,6 +42,6 @@
 	},
 	{
 		Seed: 5002, Machines: 80, Zones: 4, Routes: 3000, SlowestLink: 5, Faults: 10, Rate: 200, ReplacementRate: 3, Kinds: 22,
-		Cause: "a list with an unusable configuration kept an old one in force (TestListWithABadConfigurationIsNotOlder)",
+		Cause: "a list with an unusable configuration kept an old one in force (TestNoDocumentFromListWithInvalidConfiguration)",
 	},
 }
--- a/internal/mirror/relist_test.go
+++ b/internal/mirror/relist_test.go
@@ -127,11 +127,11 @@
 	}
 }
 
-// TestListWithABadConfigurationIsNotOlder: a node that resumes reading after a long time
+// TestNoDocumentFromListWithInvalidConfiguration: a node that resumes reading after a long time
 // lists a store whose current configuration is invalid. The configuration that it read last may be
 // outdated, and a document with it would remove newer routes. The node must build no document until
 // it reads a valid configuration, but it still publishes instance changes.
-func TestListWithABadConfigurationIsNotOlder(t *testing.T) {
+func TestNoDocumentFromListWithInvalidConfiguration(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
 	r.store.Put("op/config", configuration(1, "a"))
