--- a/internal/distribution/fleet_changes_test.go
+++ b/internal/distribution/fleet_changes_test.go
@@ -19,8 +19,8 @@
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
-// leaving returns a change that puts an instance into the draining state.
-func leaving(revision snapshot.Revision, name string) snapshot.Change {
+// drainingChange returns a change that puts an instance into the draining state.
+func drainingChange(revision snapshot.Revision, name string) snapshot.Change {
 	return snapshot.InstanceChange(revision, snapshot.Instance{
 		Name: name, Service: "a", Zone: "z", Address: "10.0.0.1:80", State: snapshot.InstanceDraining,
 	})
@@ -37,15 +37,15 @@
 	const floodTime, healTime = 300 * time.Millisecond, 5 * time.Second
 	t.Run("over the links", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 1, Duplicates: 0.2}, nil)
-		s.ReadChanges(machine(0).Name, leaving(7, "i"))
-		s.c.Check(s.RunUntil(floodTime, func() bool { return s.allLearned(leaving(7, "i")) }), qt.IsTrue)
+		s.ReadChanges(machine(0).Name, drainingChange(7, "i"))
+		s.c.Check(s.RunUntil(floodTime, func() bool { return s.allLearned(drainingChange(7, "i")) }), qt.IsTrue)
 	})
 	t.Run("an older change is ignored", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 2, Duplicates: 0.2}, nil)
 		s.ReadChanges(machine(0).Name, snapshot.InstanceRemoval(8, "i"))
 		s.Run(floodTime)
 		frames, _ := s.Sent()
-		s.ReadChanges(machine(0).Name, leaving(7, "i"))
+		s.ReadChanges(machine(0).Name, drainingChange(7, "i"))
 		after, _ := s.Sent()
 		s.c.Check(after, qt.Equals, frames)
 		for _, name := range s.Machines() {
@@ -58,40 +58,40 @@
 		s := newScenario(qt.New(t), simulation.Options{Seed: 8}, nil)
 		s.Run(time.Second)
 		held, _ := s.Held(machine(0).Name)
-		s.ReadChanges(machine(0).Name, leaving(held.Revision, "i"))
+		s.ReadChanges(machine(0).Name, drainingChange(held.Revision, "i"))
 		s.Run(floodTime)
-		s.c.Check(s.KnowsChange(machine(0).Name, leaving(held.Revision, "i")), qt.IsFalse)
+		s.c.Check(s.KnowsChange(machine(0).Name, drainingChange(held.Revision, "i")), qt.IsFalse)
 	})
 	t.Run("two readers at the same time", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 3}, nil)
-		s.ReadChanges(machine(0).Name, leaving(7, "i"), leaving(8, "j"))
-		s.ReadChanges(machine(9).Name, leaving(8, "j"), leaving(9, "k"))
+		s.ReadChanges(machine(0).Name, drainingChange(7, "i"), drainingChange(8, "j"))
+		s.ReadChanges(machine(9).Name, drainingChange(8, "j"), drainingChange(9, "k"))
 		s.c.Check(s.RunUntil(floodTime, func() bool {
-			return s.allLearned(leaving(7, "i")) && s.allLearned(leaving(8, "j")) && s.allLearned(leaving(9, "k"))
+			return s.allLearned(drainingChange(7, "i")) && s.allLearned(drainingChange(8, "j")) && s.allLearned(drainingChange(9, "k"))
 		}), qt.IsTrue)
 	})
 	t.Run("a node starts", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 4}, nil)
 		s.Kill(machine(3).Name)
-		s.ReadChanges(machine(0).Name, leaving(7, "i"))
+		s.ReadChanges(machine(0).Name, drainingChange(7, "i"))
 		s.Run(floodTime)
 		s.Restart(machine(3).Name)
-		s.c.Check(s.RunUntil(time.Second, func() bool { return s.allLearned(leaving(7, "i")) }), qt.IsTrue)
+		s.c.Check(s.RunUntil(time.Second, func() bool { return s.allLearned(drainingChange(7, "i")) }), qt.IsTrue)
 	})
 	t.Run("a short partition heals", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 5}, nil)
 		isolated := machine(7).Name
 		s.Cut(between(func(m *simulation.Machine) bool { return m.Name == isolated }))
-		s.ReadChanges(machine(0).Name, leaving(7, "i"))
-		s.c.Check(s.RunUntil(floodTime, func() bool { return s.allLearned(leaving(7, "i"), isolated) }), qt.IsTrue)
+		s.ReadChanges(machine(0).Name, drainingChange(7, "i"))
+		s.c.Check(s.RunUntil(floodTime, func() bool { return s.allLearned(drainingChange(7, "i"), isolated) }), qt.IsTrue)
 		s.Cut(nil)
-		s.c.Check(s.RunUntil(healTime, func() bool { return s.allLearned(leaving(7, "i")) }), qt.IsTrue)
+		s.c.Check(s.RunUntil(healTime, func() bool { return s.allLearned(drainingChange(7, "i")) }), qt.IsTrue)
 	})
 	t.Run("the reader ends", func(t *testing.T) {
 		s := newScenario(qt.New(t), simulation.Options{Seed: 6}, nil)
-		s.ReadChanges(machine(0).Name, leaving(7, "i"))
+		s.ReadChanges(machine(0).Name, drainingChange(7, "i"))
 		s.Kill(machine(0).Name)
-		s.c.Check(s.RunUntil(floodTime, func() bool { return s.allLearned(leaving(7, "i"), machine(0).Name) }), qt.IsTrue)
+		s.c.Check(s.RunUntil(floodTime, func() bool { return s.allLearned(drainingChange(7, "i"), machine(0).Name) }), qt.IsTrue)
 	})
 }
 
@@ -99,9 +99,9 @@
 // after a while, so that their number does not grow.
 func TestFleetChangesExpire(t *testing.T) {
 	s := newScenario(qt.New(t), simulation.Options{Seed: 1}, nil)
-	s.ReadChanges(machine(0).Name, leaving(7, "i"))
+	s.ReadChanges(machine(0).Name, drainingChange(7, "i"))
 	s.Run(time.Minute)
-	s.ReadChanges(machine(0).Name, leaving(8, "j"))
+	s.ReadChanges(machine(0).Name, drainingChange(8, "j"))
 	s.c.Check(s.Engine(machine(0).Name).FleetChanges(), qt.HasLen, 1)
 }
 
@@ -115,8 +115,8 @@
 			s := &scenario{c: c, Fleet: f}
 			began := f.Now()
 			_, before := f.Sent()
-			f.ReadChanges(f.Machines()[0], leaving(7, "i"))
-			c.Check(f.RunUntil(300*time.Millisecond, func() bool { return s.allLearned(leaving(7, "i")) }), qt.IsTrue)
+			f.ReadChanges(f.Machines()[0], drainingChange(7, "i"))
+			c.Check(f.RunUntil(300*time.Millisecond, func() bool { return s.allLearned(drainingChange(7, "i")) }), qt.IsTrue)
 			_, after := f.Sent()
 			t.Logf("%d nodes: all learned of the change after %s, %d bytes per node", count, f.Now()-began, (after-before)/int64(count))
 		})
@@ -169,7 +169,7 @@
 			for i := range changes {
 				f.Platform.Publish(largeDocument(snapshot.Revision(2+i), documentBytes), "")
 				f.Run(time.Duration(random.Int64N(int64(transferTime))))
-				change := leaving(snapshot.Revision(firstRevision+i), fmt.Sprint("i-", i))
+				change := drainingChange(snapshot.Revision(firstRevision+i), fmt.Sprint("i-", i))
 				began := f.Now()
 				f.ReadChanges(f.Machines()[random.IntN(count)], change)
 				c.Check(f.RunUntil(2*time.Second, func() bool { return s.allLearned(change) }), qt.IsTrue)
@@ -186,7 +186,7 @@
 // TestInvalidFleetChangeClosesLink: a node closes the link to a peer that sends an invalid change,
 // and keeps the link to one that sends a valid change.
 func TestInvalidFleetChangeClosesLink(t *testing.T) {
-	valid, err := leaving(7, "i").Resource()
+	valid, err := drainingChange(7, "i").Resource()
 	qt.Assert(t, err, qt.IsNil)
 	for name, row := range map[string]struct {
 		resource snapshot.Resource
@@ -206,7 +206,7 @@
 			_, err := connection.Write(frame(c, &wire.FleetChanges{Changes: []wire.FleetChange{{Revision: 7, Resource: row.resource}}}))
 			c.Assert(err, qt.IsNil)
 			if !row.closes {
-				c.Check((<-learned).Change, qt.DeepEquals, leaving(7, "i"))
+				c.Check((<-learned).Change, qt.DeepEquals, drainingChange(7, "i"))
 				return
 			}
 			_, err = io.Copy(io.Discard, connection) // ends when the node closes the link
--- a/internal/distribution/freshness_test.go
+++ b/internal/distribution/freshness_test.go
@@ -147,7 +147,7 @@
 					random := rand.New(rand.NewPCG(seed, 2))
 					for i := range changes {
 						f.revision++
-						leaves := leaving(f.revision, fmt.Sprint("i-", i))
+						leaves := drainingChange(f.revision, fmt.Sprint("i-", i))
 						f.Platform.PublishChanges(largeDocument(f.revision, documentBytes), leaves)
 						began := f.Now()
 						s := &scenario{c: c, Fleet: f.Fleet}
--- a/internal/distribution/protocol_test.go
+++ b/internal/distribution/protocol_test.go
@@ -26,7 +26,7 @@
 	actions := n.engine.Handle(now, n.received(event))
 	for i, action := range actions {
 		if send, ok := action.(distribution.Send); ok && send.Type == wire.TypeHello {
-			send.Frame = changed(send.Frame, func(hello *wire.Hello) { hello.Protocol++ })
+			send.Frame = withChangedHello(send.Frame, func(hello *wire.Hello) { hello.Protocol++ })
 			actions[i] = send
 		}
 	}
@@ -56,8 +56,8 @@
 	return &copied
 }
 
-// changed decodes the Hello in a frame, applies change to it and returns it encoded.
-func changed(frame []byte, change func(hello *wire.Hello)) []byte {
+// withChangedHello decodes the Hello in a frame, applies change to it and returns it encoded.
+func withChangedHello(frame []byte, change func(hello *wire.Hello)) []byte {
 	message, _, err := wire.NewReader(bytes.NewReader(frame), wire.Limits{}).Next()
 	if err != nil {
 		panic(err) // the engine encoded it
@@ -149,7 +149,7 @@
 		case ok && send.Type == wire.TypeFleetChanges:
 			continue
 		case ok && send.Type == wire.TypeHello:
-			send.Frame = changed(send.Frame, func(hello *wire.Hello) {
+			send.Frame = withChangedHello(send.Frame, func(hello *wire.Hello) {
 				if hello.Purpose.AcceptsChanges() {
 					hello.Purpose = wire.PurposeLink
 				}
@@ -187,10 +187,10 @@
 	allHold := func() bool { return f.AllHold(f.Platform.Current()) }
 	c.Assert(f.RunUntil(within, allHold), qt.IsTrue)
 	f.Run(10 * time.Second)
-	f.ReadChanges(f.Machines()[0], leaving(1000, "i"))
+	f.ReadChanges(f.Machines()[0], drainingChange(1000, "i"))
 	f.Run(time.Second)
 	for i, node := range f.Machines() {
-		c.Check(f.KnowsChange(node, leaving(1000, "i")), qt.Equals, i%2 == 0, qt.Commentf("%s", node))
+		c.Check(f.KnowsChange(node, drainingChange(1000, "i")), qt.Equals, i%2 == 0, qt.Commentf("%s", node))
 	}
 	f.Platform.Publish(document(2), "")
 	c.Check(f.RunUntil(within, allHold), qt.IsTrue)
--- a/internal/distribution/restore_table_test.go
+++ b/internal/distribution/restore_table_test.go
@@ -133,7 +133,7 @@
 		if i == changes-1 {
 			number = next
 		}
-		change := leaving(f.at.Next(), fmt.Sprint("i-", i+2))
+		change := drainingChange(f.at.Next(), fmt.Sprint("i-", i+2))
 		f.publish(number, change)
 		began := f.Now()
 		knowing := func() int {
--- a/internal/distribution/restore_test.go
+++ b/internal/distribution/restore_test.go
@@ -42,7 +42,7 @@
 	actions := b.engine.Handle(now, event)
 	for i, action := range actions {
 		if send, ok := action.(distribution.Send); ok && send.Type == wire.TypeHello {
-			send.Frame = changed(send.Frame, func(hello *wire.Hello) {
+			send.Frame = withChangedHello(send.Frame, func(hello *wire.Hello) {
 				if hello.Purpose.AcceptsOrigins() {
 					hello.Purpose = wire.PurposeLinkWithChanges
 				}
