--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -314,7 +314,7 @@
 	if !enabled.ShortFirst {
 		ticket.Length = 0
 	}
-	ticket.OnlyCandidate = ticket.OnlyCandidate && enabled.Stays
+	ticket.OnlyCandidate = ticket.OnlyCandidate && enabled.KeepOnlyCandidate
 	return ticket
 }
 
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -73,7 +73,7 @@
 		Method: request.Method, Target: request.Target, Host: request.Host,
 		Header: header, Body: request.Body, ID: request.ID,
 	}
-	if !order.Repeatable && p.options.Mechanisms.RestLimit {
+	if !order.Repeatable && p.options.Mechanisms.IdleLimit {
 		sent.MaxIdle = p.options.MaxIdleNonRepeatable
 	}
 	return sent
--- a/internal/dataplane/mechanism/mechanism.go
+++ b/internal/dataplane/mechanism/mechanism.go
@@ -19,20 +19,20 @@
 	ShortFirst bool `yaml:"short_first" help:"give slots to short requests before long ones"`
 	// DueOrder grants slots by due time instead of arrival time.
 	DueOrder bool `yaml:"due_order" help:"give slots to what is due first instead of what came first"`
-	// Stays keeps urgent requests waiting that no other instance can take.
-	Stays bool `yaml:"stays" help:"keep urgent requests that can be brought to no other instance"`
+	// KeepOnlyCandidate keeps urgent requests waiting that no other instance can take.
+	KeepOnlyCandidate bool `yaml:"stays" help:"keep urgent requests that can be brought to no other instance"`
 	// EarlyRefusal refuses requests that could not meet their deadlines.
 	EarlyRefusal bool `yaml:"early_refusal" help:"refuse requests that could not be in time"`
 	// PatientCalls lets requests whose callers do not retry wait for as long as they are of
 	// use.
 	PatientCalls bool `yaml:"patient_calls" help:"keep requests whose callers do not come back for as long as they are of use"`
-	// LateReturns asks callers to retry later, the more new requests are refused.
-	LateReturns bool `yaml:"late_returns" help:"ask callers to come back later the more new requests are refused"`
+	// LateRetries asks callers to retry later, the more new requests are refused.
+	LateRetries bool `yaml:"late_returns" help:"ask callers to come back later the more new requests are refused"`
 	// Repeats sends repeatable requests to a further instance, within the fleet's budget.
 	Repeats bool `yaml:"repeats" help:"send requests that may be repeated to a further instance, within the fleet's budget"`
-	// RestLimit sends requests that must not be repeated only on connections that were idle
+	// IdleLimit sends requests that must not be repeated only on connections that were idle
 	// for a short time.
-	RestLimit bool `yaml:"rest_limit" help:"send what may run once only on connections that hardly rested"`
+	IdleLimit bool `yaml:"rest_limit" help:"send what may run once only on connections that hardly rested"`
 	// LinkAdmission admits large bodies to the links of machines before they are sent.
 	LinkAdmission bool `yaml:"link_admission" help:"admit large bodies to the links of machines before they are sent"`
 	// LapseGrace waits for entries that expired while the store was unavailable to be renewed.
@@ -43,7 +43,7 @@
 func All() Set {
 	return Set{
 		ZonePrice: true, Speeds: true, AvoidFailing: true, AvoidSilent: true, ValueOrder: true,
-		ShortFirst: true, DueOrder: true, Stays: true, EarlyRefusal: true, PatientCalls: true,
-		LateReturns: true, Repeats: true, RestLimit: true, LinkAdmission: true, LapseGrace: true,
+		ShortFirst: true, DueOrder: true, KeepOnlyCandidate: true, EarlyRefusal: true, PatientCalls: true,
+		LateRetries: true, Repeats: true, IdleLimit: true, LinkAdmission: true, LapseGrace: true,
 	}
 }
--- a/internal/dataplane/outbound/refuse.go
+++ b/internal/dataplane/outbound/refuse.go
@@ -56,7 +56,7 @@
 // retryAfter returns when the request is likely to find a slot, with a random part.
 func (e *exchange) retryAfter() time.Duration {
 	pressure := 0.0
-	if e.proxy.options.Mechanisms.LateReturns {
+	if e.proxy.options.Mechanisms.LateRetries {
 		pressure = e.proxy.callerRetries.Pressure(e.route.Name, time.Now())
 	}
 	if !e.hasReady() {
