--- a/internal/proxy/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Two connections and a call of Seal race for the same Send: at most one connection
+// Two connections and a call of Seal race for the same SendAttempt: at most one connection
 // may write, and Seal must report whether one did.
 func TestSendUsesOneConnection(t *testing.T) {
 	c := qt.New(t)
--- a/internal/proxy/forward/send.go
+++ b/internal/proxy/forward/send.go
@@ -12,7 +12,7 @@
 // was sent.
 var ErrNotSent = eris.New("no byte of the request was sent")
 
-// Conn is a connection that writes only for the Send it is assigned to. This makes it
+// Conn is a connection that writes only for the SendAttempt it is assigned to. This makes it
 // certain whether any byte of a request was sent. It also stops http.Transport from
 // resending a request on its own: on a reused connection, the transport resends
 // requests that it considers idempotent (an Idempotency-Key header is enough), which a
@@ -23,15 +23,15 @@
 	assigned atomic.Pointer[SendAttempt]
 }
 
-// NewConn returns the connection without a Send, so that it refuses writes. direct
+// NewConn returns the connection without a SendAttempt, so that it refuses writes. direct
 // means that writes go to the kernel unbuffered and unchanged: a failed write of zero
 // bytes then sent nothing.
 func NewConn(conn net.Conn, direct bool) *Conn { return &Conn{Conn: conn, direct: direct} }
 
-// Assign makes the connection write for this Send.
+// Assign makes the connection write for this SendAttempt.
 func (c *Conn) Assign(send *SendAttempt) { c.assigned.Store(send) }
 
-// Write writes for the assigned Send, or returns ErrNotSent.
+// Write writes for the assigned SendAttempt, or returns ErrNotSent.
 func (c *Conn) Write(data []byte) (int, error) {
 	assigned := c.assigned.Load()
 	if assigned == nil {
@@ -67,11 +67,11 @@
 	return &SendAttempt{deadline: deadline, allowed: allowed}
 }
 
-// sealed marks a Send for which nothing was written and nothing may be written.
+// sealed marks a SendAttempt for which nothing was written and nothing may be written.
 var sealed = new(Conn)
 
 // beginWrite asks for permission to write on a connection. first reports whether it
-// would be the first write of this Send.
+// would be the first write of this SendAttempt.
 func (s *SendAttempt) beginWrite(conn *Conn) (first, allowed bool) {
 	if s.used.Load() == conn {
 		return false, true
--- a/internal/source/stall.go
+++ b/internal/source/stall.go
@@ -41,7 +41,7 @@
 
 // WithStallTimeout returns a context that ends if nothing of an answer has arrived after
 // firstTimeout, or later if less than minProgressBytes arrive within stallTimeout. The
-// reader of the answer reports what arrives with Progress. The caller must call the returned
+// reader of the answer reports what arrives with ReportProgress. The caller must call the returned
 // function to release the context.
 func WithStallTimeout(parent context.Context, firstTimeout, stallTimeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
@@ -107,13 +107,13 @@
 	}
 }
 
-// progressReader reports the bytes that it reads to Progress.
+// progressReader reports the bytes that it reads to ReportProgress.
 type progressReader struct {
 	ctx  context.Context
 	body io.Reader
 }
 
-// ReadWithProgress returns a reader that reports the bytes read from body to Progress.
+// ReadWithProgress returns a reader that reports the bytes read from body to ReportProgress.
 func ReadWithProgress(ctx context.Context, body io.Reader) io.Reader {
 	return &progressReader{ctx: ctx, body: body}
 }
--- a/internal/suspects/book.go
+++ b/internal/suspects/book.go
@@ -57,7 +57,7 @@
 	Until time.Time
 }
 
-// CrashRecords holds the crash records that a node knows. Two Books with the same records give the
+// CrashRecords holds the crash records that a node knows. Two of them with the same records give the
 // same assessments. It is not safe for concurrent use.
 type CrashRecords struct {
 	crashes map[CrashID]*Crash
