--- a/internal/admin/suspects_test.go
+++ b/internal/admin/suspects_test.go
@@ -16,11 +16,11 @@
 // one of them.
 func TestSuspects(t *testing.T) {
 	c := qt.New(t)
-	ledger := suspects.NewTracker()
+	tracker := suspects.NewTracker()
 	quarantined, bystander := suspects.NewFingerprint("GET", "h", "/a", nil), suspects.NewFingerprint("GET", "h", "/b", nil)
-	ledger.Crashed("i-1", []suspects.InProgress{{Fingerprint: quarantined}, {Fingerprint: bystander}})
+	tracker.Crashed("i-1", []suspects.InProgress{{Fingerprint: quarantined}, {Fingerprint: bystander}})
 	node := newFakeNode(c)
-	server := httptest.NewServer(admin.New(admin.Options{Snapshots: node, Fleet: node, Status: node, Suspects: ledger,
+	server := httptest.NewServer(admin.New(admin.Options{Snapshots: node, Fleet: node, Status: node, Suspects: tracker,
 		Gatherer: prometheus.NewRegistry(), Logger: logging.Discard()}))
 	defer server.Close()
 	client := admin.NewClient(server.Listener.Addr().String())
@@ -30,7 +30,7 @@
 	c.Assert(list.Suspects, qt.HasLen, 2)
 	c.Check(list.Suspects[0].Standing, qt.Equals, "suspected")
 
-	ledger.Crashed("i-2", []suspects.InProgress{{Fingerprint: quarantined, Probe: true}})
+	tracker.Crashed("i-2", []suspects.InProgress{{Fingerprint: quarantined, Probe: true}})
 	list, err = client.Suspects(t.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(list.Suspects, qt.HasLen, 1) // the probe explains the first crash, so the bystander is clear
@@ -45,6 +45,6 @@
 	c.Check(err, qt.ErrorMatches, ".*404: nothing stands against.*")
 	_, err = client.ClearSuspect(t.Context(), quarantined.String())
 	c.Assert(err, qt.IsNil)
-	c.Check(ledger.Assess(quarantined).Standing, qt.Equals, suspects.Clear)
-	c.Check(ledger.Assess(bystander).Standing, qt.Equals, suspects.Suspected) // without the probe, nothing explains the first crash
+	c.Check(tracker.Assess(quarantined).Standing, qt.Equals, suspects.Clear)
+	c.Check(tracker.Assess(bystander).Standing, qt.Equals, suspects.Suspected) // without the probe, nothing explains the first crash
 }
--- a/internal/app/metrics.go
+++ b/internal/app/metrics.go
@@ -12,11 +12,11 @@
 )
 
 // registerMetrics registers the metrics of parts that only keep counters.
-func registerMetrics(registerer prometheus.Registerer, node *distribution.Node, loaded *keys.Keys, ledger *suspects.Tracker) error {
+func registerMetrics(registerer prometheus.Registerer, node *distribution.Node, loaded *keys.Keys, tracker *suspects.Tracker) error {
 	if err := registerer.Register(newDistributionCollector(node)); err != nil {
 		return err
 	}
-	if err := registerSuspects(registerer, ledger); err != nil {
+	if err := registerSuspects(registerer, tracker); err != nil {
 		return err
 	}
 	if loaded == nil {
--- a/internal/app/suspects.go
+++ b/internal/app/suspects.go
@@ -8,9 +8,9 @@
 )
 
 // newCrashHandler returns a function that records and logs crashes reported by other nodes.
-func newCrashHandler(ledger *suspects.Tracker, logger logrus.FieldLogger) func([]suspects.Crash) {
+func newCrashHandler(tracker *suspects.Tracker, logger logrus.FieldLogger) func([]suspects.Crash) {
 	return func(crashes []suspects.Crash) {
-		ledger.MergeRemote(crashes)
+		tracker.MergeRemote(crashes)
 		for _, crash := range crashes {
 			logger.WithFields(describeCrash(crash)).Info("another node reported the crash of an instance")
 		}
@@ -35,7 +35,7 @@
 
 // registerSuspects registers gauges of the request contents that are suspected or
 // quarantined.
-func registerSuspects(registerer prometheus.Registerer, ledger *suspects.Tracker) error {
+func registerSuspects(registerer prometheus.Registerer, tracker *suspects.Tracker) error {
 	for name, gauge := range map[string]struct {
 		standing suspects.Standing
 		help     string
@@ -43,7 +43,7 @@
 		"winchhead_suspected_requests":   {suspects.Suspected, "Contents of requests that may have crashed an instance and are probed one at a time."},
 		"winchhead_quarantined_requests": {suspects.Quarantined, "Contents of requests that crashed instances under probes and are refused."},
 	} {
-		count := func() float64 { return float64(ledger.Count(gauge.standing)) }
+		count := func() float64 { return float64(tracker.Count(gauge.standing)) }
 		if err := registerer.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: gauge.help}, count)); err != nil {
 			return err
 		}
--- a/internal/dataplane/inbound/probe_test.go
+++ b/internal/dataplane/inbound/probe_test.go
@@ -47,22 +47,22 @@
 			current := empty.WithFleet(snapshot.Version{Revision: 2}, snapshot.Content{Instances: []snapshot.Instance{
 				{Name: "i-1", Service: "s", Address: address, Zone: "z", Slots: 2, State: snapshot.InstanceReady},
 			}})
-			ledger := suspects.NewTracker()
+			tracker := suspects.NewTracker()
 			proxy, err := inbound.New(inbound.Options{
 				Mechanisms: mechanism.All(), Names: message.Names{RequestID: instance.HeaderID, ExpectInstance: instance.HeaderExpect},
-				Snapshots: oneSnapshot{current}, Backend: address, Service: "s", Zone: "z", Slots: 2, Suspects: ledger, Logger: logging.Discard(),
+				Snapshots: oneSnapshot{current}, Backend: address, Service: "s", Zone: "z", Slots: 2, Suspects: tracker, Logger: logging.Discard(),
 			})
 			c.Assert(err, qt.IsNil)
 			c.Cleanup(proxy.Close)
 			if row.known {
-				ledger.Crashed("i-0", running)
+				tracker.Crashed("i-0", running)
 			}
 			request := &message.Request{ID: "r", Method: http.MethodGet, Host: "h", Target: "/x", Path: "/x", Header: http.Header{}, Arrived: time.Now()}
 			delivery := proxy.Deliver(context.Background(), request, hop.Order{
 				Instance: "i-1", Remaining: time.Minute, MaxWait: time.Minute, Suspected: row.bySender, Repeatable: true,
 			})
 			c.Check(delivery.Report.Reason, qt.Equals, hop.ReasonCrashed)
-			c.Check(ledger.Assess(running[0].Fingerprint).Standing, qt.Equals, row.want)
+			c.Check(tracker.Assess(running[0].Fingerprint).Standing, qt.Equals, row.want)
 		})
 	}
 }
--- a/internal/dataplane/outbound/suspicion.go
+++ b/internal/dataplane/outbound/suspicion.go
@@ -32,8 +32,8 @@
 func (e *exchange) assess() suspects.Standing {
 	s := &e.suspicion
 	s.standing = suspects.Clear
-	if ledger := e.proxy.options.Suspects; !ledger.IsEmpty() {
-		assessment := ledger.Assess(e.fingerprint())
+	if tracker := e.proxy.options.Suspects; !tracker.IsEmpty() {
+		assessment := tracker.Assess(e.fingerprint())
 		s.standing, s.until = assessment.Standing, assessment.Until
 	}
 	if s.standing == suspects.Clear && s.crashObserved {
--- a/internal/suspects/benchmark_test.go
+++ b/internal/suspects/benchmark_test.go
@@ -11,15 +11,15 @@
 	for _, bytes := range []int{0, 64 << 10} {
 		for _, suspected := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d bytes, suspects %v", bytes, suspected), func(b *testing.B) {
-				ledger := NewTracker()
+				tracker := NewTracker()
 				if suspected {
-					ledger.Crashed("i", []InProgress{{Fingerprint: fingerprintOf("other")}})
+					tracker.Crashed("i", []InProgress{{Fingerprint: fingerprintOf("other")}})
 				}
 				body := make([]byte, bytes)
 				b.ReportAllocs()
 				for b.Loop() {
-					if !ledger.IsEmpty() {
-						ledger.Assess(NewFingerprint("GET", "host.example", "/some/path/of/a/request", body))
+					if !tracker.IsEmpty() {
+						tracker.Assess(NewFingerprint("GET", "host.example", "/some/path/of/a/request", body))
 					}
 				}
 			})
--- a/internal/suspects/book.go
+++ b/internal/suspects/crash_records.go
@@ -72,33 +72,33 @@
 }
 
 // IsEmpty reports whether no fingerprint is suspected or quarantined.
-func (b *CrashRecords) IsEmpty() bool { return len(b.suspected) == 0 }
+func (r *CrashRecords) IsEmpty() bool { return len(r.suspected) == 0 }
 
 // Merge adds the given records and returns those that were new or changed a held record, in
 // their merged form.
-func (b *CrashRecords) Merge(crashes []Crash, now time.Time) (merged []Crash) {
-	b.expire(now)
+func (r *CrashRecords) Merge(crashes []Crash, now time.Time) (merged []Crash) {
+	r.expire(now)
 	var changed []CrashID
 	for _, other := range crashes {
-		if b.mergeRecord(other, now) {
+		if r.mergeRecord(other, now) {
 			changed = append(changed, other.ID)
 		}
 	}
 	if len(changed) == 0 {
 		return nil
 	}
-	b.limit()
-	b.index()
+	r.limit()
+	r.index()
 	for _, id := range changed {
-		if held := b.crashes[id]; held != nil { // a dropped record is not passed on, or it would circulate forever
+		if held := r.crashes[id]; held != nil { // a dropped record is not passed on, or it would circulate forever
 			merged = append(merged, held.clone())
 		}
 	}
 	return merged
 }
 
-func (b *CrashRecords) mergeRecord(other Crash, now time.Time) (changed bool) {
-	if held := b.crashes[other.ID]; held != nil {
+func (r *CrashRecords) mergeRecord(other Crash, now time.Time) (changed bool) {
+	if held := r.crashes[other.ID]; held != nil {
 		return held.merge(other)
 	}
 	if len(other.Requests) == 0 || !now.Before(expiry(&other)) {
@@ -106,28 +106,28 @@
 	}
 	added := other.clone()
 	added.Requests = added.Requests[:min(len(added.Requests), MaxRequests)]
-	b.crashes[other.ID] = &added
+	r.crashes[other.ID] = &added
 	return true
 }
 
 // Clear clears a fingerprint after an instance answered such a request, which shows that
 // the request does not crash instances. It returns the records that changed.
-func (b *CrashRecords) Clear(fingerprint Fingerprint) (changed []Crash) {
-	for _, crash := range b.suspected[fingerprint] {
+func (r *CrashRecords) Clear(fingerprint Fingerprint) (changed []Crash) {
+	for _, crash := range r.suspected[fingerprint] {
 		crash.find(fingerprint).Cleared = true
 		changed = append(changed, crash.clone())
 	}
 	if len(changed) > 0 {
-		b.index()
+		r.index()
 	}
 	return changed
 }
 
 // Assess returns the standing of a fingerprint.
-func (b *CrashRecords) Assess(fingerprint Fingerprint, now time.Time) Assessment {
+func (r *CrashRecords) Assess(fingerprint Fingerprint, now time.Time) Assessment {
 	var found Assessment
 	var last time.Time
-	for _, crash := range b.suspected[fingerprint] {
+	for _, crash := range r.suspected[fingerprint] {
 		request := crash.find(fingerprint)
 		switch {
 		case !now.Before(expiry(crash)):
@@ -135,7 +135,7 @@
 		case request.Probed:
 			found.Probes++
 			last = later(last, crash.At)
-		case b.isExplained(crash, fingerprint):
+		case r.isExplained(crash, fingerprint):
 			continue
 		}
 		found.Crashes++
@@ -156,21 +156,21 @@
 // isExplained reports whether another request that was in progress at the crash has crashed
 // an instance during a probe. The crash is then no evidence against this one, so requests
 // that merely ran beside the cause need no probe of their own.
-func (b *CrashRecords) isExplained(crash *Crash, fingerprint Fingerprint) bool {
+func (r *CrashRecords) isExplained(crash *Crash, fingerprint Fingerprint) bool {
 	return slices.ContainsFunc(crash.Requests, func(other Request) bool {
-		return other.Fingerprint != fingerprint && !other.Cleared && b.wasProbed(other.Fingerprint)
+		return other.Fingerprint != fingerprint && !other.Cleared && r.wasProbed(other.Fingerprint)
 	})
 }
 
 // wasProbed reports whether a probe of a fingerprint that is not cleared ended in a crash.
-func (b *CrashRecords) wasProbed(fingerprint Fingerprint) bool {
-	return slices.ContainsFunc(b.suspected[fingerprint], func(crash *Crash) bool { return crash.find(fingerprint).Probed })
+func (r *CrashRecords) wasProbed(fingerprint Fingerprint) bool {
+	return slices.ContainsFunc(r.suspected[fingerprint], func(crash *Crash) bool { return crash.find(fingerprint).Probed })
 }
 
 // assessed returns all fingerprints that are not clear, sorted.
-func (b *CrashRecords) assessed(now time.Time) (found []Assessed) {
-	for fingerprint := range b.suspected {
-		if assessment := b.Assess(fingerprint, now); assessment.Standing != Clear {
+func (r *CrashRecords) assessed(now time.Time) (found []Assessed) {
+	for fingerprint := range r.suspected {
+		if assessment := r.Assess(fingerprint, now); assessment.Standing != Clear {
 			found = append(found, Assessed{Fingerprint: fingerprint, Assessment: assessment})
 		}
 	}
@@ -179,10 +179,10 @@
 }
 
 // All returns all records, oldest first.
-func (b *CrashRecords) All(now time.Time) []Crash {
-	b.expire(now)
-	all := make([]Crash, 0, len(b.crashes))
-	for _, crash := range b.crashes {
+func (r *CrashRecords) All(now time.Time) []Crash {
+	r.expire(now)
+	all := make([]Crash, 0, len(r.crashes))
+	for _, crash := range r.crashes {
 		all = append(all, crash.clone())
 	}
 	slices.SortFunc(all, compareAge)
@@ -206,21 +206,21 @@
 }
 
 // expire drops the records that have expired.
-func (b *CrashRecords) expire(now time.Time) {
-	before := len(b.crashes)
-	maps.DeleteFunc(b.crashes, func(_ CrashID, crash *Crash) bool { return !now.Before(expiry(crash)) })
-	if len(b.crashes) < before {
-		b.index()
+func (r *CrashRecords) expire(now time.Time) {
+	before := len(r.crashes)
+	maps.DeleteFunc(r.crashes, func(_ CrashID, crash *Crash) bool { return !now.Before(expiry(crash)) })
+	if len(r.crashes) < before {
+		r.index()
 	}
 }
 
 // limit drops the least useful records: first those in which every request is cleared, then
 // the oldest without a probe, then the oldest.
-func (b *CrashRecords) limit() {
-	if len(b.crashes) <= maxCrashes {
+func (r *CrashRecords) limit() {
+	if len(r.crashes) <= maxCrashes {
 		return
 	}
-	all := slices.Collect(maps.Values(b.crashes))
+	all := slices.Collect(maps.Values(r.crashes))
 	slices.SortFunc(all, func(a, b *Crash) int {
 		if order := cmp.Compare(a.retentionPriority(), b.retentionPriority()); order != 0 {
 			return order
@@ -228,7 +228,7 @@
 		return compareAge(*a, *b)
 	})
 	for _, crash := range all[:len(all)-maxCrashes] {
-		delete(b.crashes, crash.ID)
+		delete(r.crashes, crash.ID)
 	}
 }
 
@@ -248,12 +248,12 @@
 }
 
 // index rebuilds suspected. This is rare: records change only a few times per crash.
-func (b *CrashRecords) index() {
-	clear(b.suspected)
-	for _, crash := range b.crashes {
+func (r *CrashRecords) index() {
+	clear(r.suspected)
+	for _, crash := range r.crashes {
 		for _, request := range crash.Requests {
 			if !request.Cleared {
-				b.suspected[request.Fingerprint] = append(b.suspected[request.Fingerprint], crash)
+				r.suspected[request.Fingerprint] = append(r.suspected[request.Fingerprint], crash)
 			}
 		}
 	}
--- a/internal/suspects/book_test.go
+++ b/internal/suspects/crash_records_test.go
@@ -52,13 +52,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			book := NewCrashRecords()
-			book.Merge(row.crashes, start)
+			records := NewCrashRecords()
+			records.Merge(row.crashes, start)
 			for _, path := range row.answered {
-				book.Clear(fingerprintOf(path))
+				records.Clear(fingerprintOf(path))
 			}
 			for path, want := range row.want {
-				c.Check(book.Assess(fingerprintOf(path), start.Add(row.at)).Standing, qt.Equals, want, qt.Commentf(path))
+				c.Check(records.Assess(fingerprintOf(path), start.Add(row.at)).Standing, qt.Equals, want, qt.Commentf(path))
 			}
 		})
 	}
@@ -70,30 +70,30 @@
 	rapid.Check(t, func(t *rapid.T) {
 		paths := []string{"a", "b", "c", "d"}
 		path := rapid.SampledFrom(paths)
-		books := []*CrashRecords{NewCrashRecords(), NewCrashRecords(), NewCrashRecords()}
+		replicas := []*CrashRecords{NewCrashRecords(), NewCrashRecords(), NewCrashRecords()}
 		var changed []Crash
 		for id := range rapid.IntRange(1, 8).Draw(t, "crashes") {
 			inProgress := rapid.SliceOfNDistinct(path, 1, 3, func(p string) string { return p }).Draw(t, "paths")
 			if rapid.Bool().Draw(t, "probed") {
 				inProgress[0] = "*" + inProgress[0]
 			}
-			at := rapid.IntRange(0, len(books)-1).Draw(t, "book")
-			changed = append(changed, books[at].Merge([]Crash{crashOf(CrashID(id), time.Duration(id)*time.Second, inProgress...)}, start)...)
+			at := rapid.IntRange(0, len(replicas)-1).Draw(t, "book")
+			changed = append(changed, replicas[at].Merge([]Crash{crashOf(CrashID(id), time.Duration(id)*time.Second, inProgress...)}, start)...)
 			if rapid.Bool().Draw(t, "answered") {
-				at = rapid.IntRange(0, len(books)-1).Draw(t, "answering book")
-				changed = append(changed, books[at].Clear(fingerprintOf(path.Draw(t, "answered path")))...)
+				at = rapid.IntRange(0, len(replicas)-1).Draw(t, "answering book")
+				changed = append(changed, replicas[at].Clear(fingerprintOf(path.Draw(t, "answered path")))...)
 			}
 		}
 		order := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
-		for _, book := range books {
+		for _, records := range replicas {
 			for _, at := range append(order.Perm(len(changed)), order.Perm(len(changed))...) {
-				book.Merge([]Crash{changed[at]}, start)
+				records.Merge([]Crash{changed[at]}, start)
 			}
 		}
 		for _, path := range paths {
-			first := books[0].Assess(fingerprintOf(path), start.Add(10*time.Second))
-			for _, book := range books[1:] {
-				if other := book.Assess(fingerprintOf(path), start.Add(10*time.Second)); other != first {
+			first := replicas[0].Assess(fingerprintOf(path), start.Add(10*time.Second))
+			for _, records := range replicas[1:] {
+				if other := records.Assess(fingerprintOf(path), start.Add(10*time.Second)); other != first {
 					t.Fatalf("%s: %+v and %+v", path, first, other)
 				}
 			}
@@ -105,28 +105,28 @@
 // dropped record does not count as new when it arrives again.
 func TestBookIsBounded(t *testing.T) {
 	c := qt.New(t)
-	book := NewCrashRecords()
-	book.Merge([]Crash{crashOf(0, 0, "*quarantined"), crashOf(1, 0, "*quarantined")}, start)
+	records := NewCrashRecords()
+	records.Merge([]Crash{crashOf(0, 0, "*quarantined"), crashOf(1, 0, "*quarantined")}, start)
 	all := []Crash{}
 	for i := range 2 * maxCrashes {
 		all = append(all, crashOf(CrashID(10+i), time.Duration(i)*time.Millisecond, fmt.Sprint(i)))
 	}
-	c.Check(len(book.Merge(all, start)) <= maxCrashes, qt.IsTrue)
-	c.Check(book.All(start), qt.HasLen, maxCrashes)
-	c.Check(book.Assess(fingerprintOf("quarantined"), start.Add(time.Hour)).Standing, qt.Equals, Quarantined)
-	c.Check(book.Merge(all, start), qt.HasLen, 0)
+	c.Check(len(records.Merge(all, start)) <= maxCrashes, qt.IsTrue)
+	c.Check(records.All(start), qt.HasLen, maxCrashes)
+	c.Check(records.Assess(fingerprintOf("quarantined"), start.Add(time.Hour)).Standing, qt.Equals, Quarantined)
+	c.Check(records.Merge(all, start), qt.HasLen, 0)
 	long := crashOf(9000, time.Hour)
 	for i := range 2 * MaxRequests {
 		long.Requests = append(long.Requests, Request{Fingerprint: fingerprintOf(fmt.Sprint("long", i))})
 	}
-	merged := book.Merge([]Crash{long}, start)
+	merged := records.Merge([]Crash{long}, start)
 	c.Assert(merged, qt.HasLen, 1)
 	c.Check(merged[0].Requests, qt.HasLen, MaxRequests)
 }
 
-// TestLedgerProbes checks that a crash quarantines only a request that was sent as a probe, and
+// TestTrackerProbes checks that a crash quarantines only a request that was sent as a probe, and
 // only if no other suspected request was in progress there.
-func TestLedgerProbes(t *testing.T) {
+func TestTrackerProbes(t *testing.T) {
 	a, b := fingerprintOf("a"), fingerprintOf("b")
 	for name, row := range map[string]struct {
 		running []InProgress
@@ -143,16 +143,16 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			var changed []Crash
-			ledger := NewTracker()
-			ledger.PublishWith(func(crashes []Crash) { changed = append(changed, crashes...) })
-			c.Check(ledger.IsEmpty(), qt.IsTrue)
-			ledger.Crashed("i", []InProgress{{a, false}, {b, false}})
-			c.Check(ledger.IsEmpty(), qt.IsFalse)
-			ledger.Crashed("j", row.running)
-			c.Check(ledger.Assess(a).Standing == Quarantined, qt.Equals, row.probed)
+			tracker := NewTracker()
+			tracker.PublishWith(func(crashes []Crash) { changed = append(changed, crashes...) })
+			c.Check(tracker.IsEmpty(), qt.IsTrue)
+			tracker.Crashed("i", []InProgress{{a, false}, {b, false}})
+			c.Check(tracker.IsEmpty(), qt.IsFalse)
+			tracker.Crashed("j", row.running)
+			c.Check(tracker.Assess(a).Standing == Quarantined, qt.Equals, row.probed)
 			c.Check(changed, qt.HasLen, 2)
-			ledger.Clear(a)
-			c.Check(ledger.Assess(a).Standing, qt.Equals, Clear)
+			tracker.Clear(a)
+			c.Check(tracker.Assess(a).Standing, qt.Equals, Clear)
 		})
 	}
 }
--- a/internal/suspects/ledger.go
+++ b/internal/suspects/tracker.go
@@ -25,52 +25,52 @@
 
 	hasSuspects atomic.Bool
 	mutex       sync.Mutex
-	book        *CrashRecords
+	records     *CrashRecords
 }
 
 // NewTracker returns an empty Tracker that sends its changes nowhere.
 func NewTracker() *Tracker {
-	return &Tracker{publish: func([]Crash) {}, now: clock.Now, book: NewCrashRecords()}
+	return &Tracker{publish: func([]Crash) {}, now: clock.Now, records: NewCrashRecords()}
 }
 
 // PublishWith sets the function that sends records that change on this node to other nodes. It
 // must be called before the Tracker is used.
-func (l *Tracker) PublishWith(publish func([]Crash)) { l.publish = publish }
+func (t *Tracker) PublishWith(publish func([]Crash)) { t.publish = publish }
 
 // IsEmpty reports whether no request is suspected or quarantined.
-func (l *Tracker) IsEmpty() bool { return !l.hasSuspects.Load() }
+func (t *Tracker) IsEmpty() bool { return !t.hasSuspects.Load() }
 
 // Assess returns the standing of requests with the given fingerprint.
-func (l *Tracker) Assess(fingerprint Fingerprint) Assessment {
-	if l.IsEmpty() {
+func (t *Tracker) Assess(fingerprint Fingerprint) Assessment {
+	if t.IsEmpty() {
 		return Assessment{}
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.book.Assess(fingerprint, l.now())
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.records.Assess(fingerprint, t.now())
 }
 
 // Crashed records the crash of an instance with the requests that were running there, and
 // sends the record to other nodes.
-func (l *Tracker) Crashed(instance string, running []InProgress) {
-	l.mutex.Lock()
-	now := l.now()
+func (t *Tracker) Crashed(instance string, running []InProgress) {
+	t.mutex.Lock()
+	now := t.now()
 	crash := Crash{ID: CrashID(rand.Uint64()), Instance: instance, At: now}
-	probed := l.onlyProbe(running, now)
+	probed := t.onlyProbe(running, now)
 	for _, each := range running {
 		if len(crash.Requests) < MaxRequests && crash.find(each.Fingerprint) == nil {
 			crash.Requests = append(crash.Requests, Request{Fingerprint: each.Fingerprint, Probed: probed != nil && *probed == each.Fingerprint})
 		}
 	}
-	changed := l.book.Merge([]Crash{crash}, now)
-	l.hasSuspects.Store(!l.book.IsEmpty())
-	l.mutex.Unlock()
-	l.publish(changed)
+	changed := t.records.Merge([]Crash{crash}, now)
+	t.hasSuspects.Store(!t.records.IsEmpty())
+	t.mutex.Unlock()
+	t.publish(changed)
 }
 
 // onlyProbe returns the fingerprint that was being probed, or nil if there was none or another
 // suspected request ran beside it. The caller must hold mutex.
-func (l *Tracker) onlyProbe(running []InProgress, now time.Time) *Fingerprint {
+func (t *Tracker) onlyProbe(running []InProgress, now time.Time) *Fingerprint {
 	var probed *Fingerprint
 	for i := range running {
 		each := &running[i]
@@ -78,7 +78,7 @@
 		case probed != nil && *probed == each.Fingerprint:
 		case each.Probe && probed == nil:
 			probed = &each.Fingerprint
-		case each.Probe, l.book.Assess(each.Fingerprint, now).Standing != Clear:
+		case each.Probe, t.records.Assess(each.Fingerprint, now).Standing != Clear:
 			return nil
 		}
 	}
@@ -86,25 +86,25 @@
 }
 
 // Clear clears the fingerprint of a request that an instance answered.
-func (l *Tracker) Clear(fingerprint Fingerprint) {
-	if l.IsEmpty() {
+func (t *Tracker) Clear(fingerprint Fingerprint) {
+	if t.IsEmpty() {
 		return
 	}
-	l.mutex.Lock()
-	changed := l.book.Clear(fingerprint)
-	l.hasSuspects.Store(!l.book.IsEmpty())
-	l.mutex.Unlock()
+	t.mutex.Lock()
+	changed := t.records.Clear(fingerprint)
+	t.hasSuspects.Store(!t.records.IsEmpty())
+	t.mutex.Unlock()
 	if len(changed) > 0 {
-		l.publish(changed)
+		t.publish(changed)
 	}
 }
 
 // MergeRemote merges records received from other nodes.
-func (l *Tracker) MergeRemote(crashes []Crash) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.book.Merge(crashes, l.now())
-	l.hasSuspects.Store(!l.book.IsEmpty())
+func (t *Tracker) MergeRemote(crashes []Crash) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.records.Merge(crashes, t.now())
+	t.hasSuspects.Store(!t.records.IsEmpty())
 }
 
 // Assessed is a fingerprint with its assessment.
@@ -114,15 +114,15 @@
 }
 
 // Assessed returns all fingerprints that are not clear, sorted.
-func (l *Tracker) Assessed() []Assessed {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.book.assessed(l.now())
+func (t *Tracker) Assessed() []Assessed {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.records.assessed(t.now())
 }
 
 // Count returns how many fingerprints have the given standing.
-func (l *Tracker) Count(standing Standing) (count int) {
-	for _, each := range l.Assessed() {
+func (t *Tracker) Count(standing Standing) (count int) {
+	for _, each := range t.Assessed() {
 		if each.Standing == standing {
 			count++
 		}
