--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -153,8 +153,8 @@
 // Delivery is the result of a request. It holds an answer of the instance if the report's
 // outcome is hop.Answered.
 type Delivery struct {
-	Report hop.Report
-	Answer *message.Response
+	Report   hop.Report
+	Response *message.Response
 	// Err is the reason why there is no answer. It is only logged.
 	Err error
 }
@@ -177,7 +177,7 @@
 // answerFor returns the answer for the other node, which accepts no answer without the
 // ID of its request.
 func (p *Proxy) answerFor(request *message.Request, delivery Delivery) *message.Response {
-	answer := delivery.Answer
+	answer := delivery.Response
 	if answer == nil {
 		answer = message.Whole(http.StatusServiceUnavailable, nil, nil)
 		set(answer.Header, p.options.Names.RequestID, request.ID)
@@ -271,8 +271,8 @@
 		return p.refuse(hop.ReasonRepeats, 0)
 	}
 	delivery := p.send(ctx, request, order, deadline, slot)
-	if delivery.Answer != nil {
-		if rest, ok := delivery.Answer.Stream.(*stream); ok {
+	if delivery.Response != nil {
+		if rest, ok := delivery.Response.Stream.(*stream); ok {
 			rest.run = run
 			return delivery
 		}
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -142,7 +142,7 @@
 	}
 	if err == nil && !complete {
 		answer.Body, answer.Stream = body, &stream{response: response, slot: slot, cancel: cancel}
-		return Delivery{Report: p.report(hop.Answered, hop.ReasonNone), Answer: answer}
+		return Delivery{Report: p.report(hop.Answered, hop.ReasonNone), Response: answer}
 	}
 	_ = response.Close()
 	cancel()
@@ -157,7 +157,7 @@
 	}
 	report := p.report(hop.Answered, hop.ReasonNone)
 	report.Execution = execution
-	return Delivery{Report: report, Answer: answer}
+	return Delivery{Report: report, Response: answer}
 }
 
 // stream is the rest of a response. The slot is held until the stream is closed.
--- a/internal/dataplane/outbound/exchange.go
+++ b/internal/dataplane/outbound/exchange.go
@@ -131,7 +131,7 @@
 	order := e.order(choice)
 	if choice.Local && e.proxy.options.LocalInbound != nil {
 		delivery := e.proxy.options.LocalInbound.Deliver(e.ctx, e.arrivingNow(), order)
-		return sendResult{report: delivery.Report, answer: delivery.Answer, reported: true, err: delivery.Err}
+		return sendResult{report: delivery.Report, answer: delivery.Response, reported: true, err: delivery.Err}
 	}
 	return e.proxy.sidecars.send(e.ctx, e.request, choice.Instance, order)
 }
