--- a/internal/dataplane/balance/restart_test.go
+++ b/internal/dataplane/balance/restart_test.go
@@ -17,10 +17,10 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := New(Options{Mechanisms: mechanism.All()})
-	pick := func(born int64) Choice {
+	pick := func(startedMillis int64) Choice {
 		choice, found := b.Pick(Request{
 			Route: "r", Target: time.Second, Avoid: func(string) bool { return false }, Now: now,
-			Instances: []snapshot.Instance{{Name: "i", Service: "s", State: snapshot.InstanceReady, Slots: 4, StartedMillis: born}},
+			Instances: []snapshot.Instance{{Name: "i", Service: "s", State: snapshot.InstanceReady, Slots: 4, StartedMillis: startedMillis}},
 		})
 		c.Assert(found, qt.IsTrue)
 		return choice
--- a/internal/dataplane/inbound/cold.go
+++ b/internal/dataplane/inbound/cold.go
@@ -41,8 +41,8 @@
 	phase coldstart.Phase
 	// lastSnapshot is the snapshot that was applied last.
 	lastSnapshot *snapshot.Snapshot
-	// zoneReturns is the last known number of times that an evacuation of the zone was ended.
-	zoneReturns int
+	// endedEvacuations is the last known number of times that an evacuation of the zone was ended.
+	endedEvacuations int
 	// lastUnlisted is the last instance to which a request was addressed before it was
 	// listed here.
 	lastUnlisted string
@@ -69,8 +69,8 @@
 		c.phase.Follow(instance, now)
 	}
 	service, _ := current.Service(c.service)
-	if returns := current.EndedEvacuations(c.zone); returns != c.zoneReturns {
-		c.zoneReturns = returns
+	if ended := current.EndedEvacuations(c.zone); ended != c.endedEvacuations {
+		c.endedEvacuations = ended
 		c.phase.AssumeCold(coldDuration(service), now)
 	}
 	c.limit.Set(c.bounds.boundsOf(service), c.phase.Until(), now)
--- a/internal/snapshot/address_owner_test.go
+++ b/internal/snapshot/address_owner_test.go
@@ -10,8 +10,8 @@
 // instance that restarts under its name keeps the revision at which it was first listed, so start
 // times take precedence over revisions if both are known.
 func TestOwnerOfAddress(t *testing.T) {
-	at := func(name string, born int64, created Revision) Instance {
-		return Instance{Name: name, Service: "s", Address: "10.0.0.1:80", State: InstanceReady, StartedMillis: born, Created: created}
+	at := func(name string, startedMillis int64, created Revision) Instance {
+		return Instance{Name: name, Service: "s", Address: "10.0.0.1:80", State: InstanceReady, StartedMillis: startedMillis, Created: created}
 	}
 	for name, row := range map[string]struct {
 		listed []Instance
