--- a/internal/dataplane/returns/returns.go
+++ b/internal/dataplane/callerretry/callerretry.go
@@ -1,8 +1,8 @@
-// Package returns learns from the requests of each route how its callers behave: how long
+// Package callerretry learns from the requests of each route how its callers behave: how long
 // they wait in total, which distinguishes a retry after a refusal from a new request, and
 // whether they retry at all. An instance that calls another service, for example, does not:
 // a refusal of its call fails its own request.
-package returns
+package callerretry
 
 import (
 	"math"
--- a/internal/dataplane/returns/returns_test.go
+++ b/internal/dataplane/callerretry/callerretry_test.go
@@ -1,4 +1,4 @@
-package returns
+package callerretry
 
 import (
 	"testing"
--- a/internal/dataplane/outbound/exchange.go
+++ b/internal/dataplane/outbound/exchange.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/winchhead/winchhead/internal/dataplane/balance"
+	"github.com/winchhead/winchhead/internal/dataplane/callerretry"
 	"github.com/winchhead/winchhead/internal/dataplane/hop"
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 	"github.com/winchhead/winchhead/internal/dataplane/repeats"
-	"github.com/winchhead/winchhead/internal/dataplane/returns"
 	"github.com/winchhead/winchhead/internal/snapshot"
 	"github.com/winchhead/winchhead/internal/suspects"
 )
@@ -42,7 +42,7 @@
 	deadline time.Time
 	// callerTimeout is how long the caller waits.
 	callerTimeout time.Duration
-	caller        returns.Caller
+	caller        callerretry.Caller
 	service       string
 
 	// tried are the instances that are not asked again.
--- a/internal/dataplane/outbound/outbound.go
+++ b/internal/dataplane/outbound/outbound.go
@@ -19,13 +19,13 @@
 
 	"github.com/winchhead/winchhead/internal/dataplane/balance"
 	"github.com/winchhead/winchhead/internal/dataplane/budget"
+	"github.com/winchhead/winchhead/internal/dataplane/callerretry"
 	"github.com/winchhead/winchhead/internal/dataplane/hop"
 	"github.com/winchhead/winchhead/internal/dataplane/inbound"
 	"github.com/winchhead/winchhead/internal/dataplane/losses"
 	"github.com/winchhead/winchhead/internal/dataplane/mechanism"
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 	"github.com/winchhead/winchhead/internal/dataplane/repeats"
-	"github.com/winchhead/winchhead/internal/dataplane/returns"
 	"github.com/winchhead/winchhead/internal/snapshot"
 	"github.com/winchhead/winchhead/internal/suspects"
 )
@@ -73,7 +73,7 @@
 	balancer      *balance.Balancer
 	sidecars      sidecars
 	targets       targetSelector
-	callerRetries *returns.Tracker
+	callerRetries *callerretry.Tracker
 	losses        *losses.Ledger
 	repeatLedger  *repeats.Ledger
 	log           *requestLog
@@ -103,7 +103,7 @@
 		options:       options,
 		balancer:      balance.New(balance.Options{Zone: options.Zone, LocalAddress: options.Backend, Mechanisms: options.Mechanisms}),
 		sidecars:      newSidecarPools(options),
-		callerRetries: returns.New(),
+		callerRetries: callerretry.New(),
 		losses:        losses.New(options.Logger),
 		log:           newRequestLog(options.Logger),
 		metrics:       registered,
