--- a/internal/app/claims.go
+++ b/internal/app/claims.go
@@ -9,7 +9,7 @@
 	"github.com/winchhead/winchhead/internal/distribution"
 	"github.com/winchhead/winchhead/internal/membership"
 	"github.com/winchhead/winchhead/internal/proxy/claim"
-	"github.com/winchhead/winchhead/internal/proxy/repeat"
+	"github.com/winchhead/winchhead/internal/proxy/idempotency"
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
@@ -37,7 +37,7 @@
 		return nil, nil
 	}
 	return claim.NewMemory(claim.Options{
-		Local: repeat.NewLocal(repeat.DefaultLimits(configured.IdempotencyKeyRetention)),
+		Local: idempotency.NewLocal(idempotency.DefaultLimits(configured.IdempotencyKeyRetention)),
 		Self: func() (membership.NodeID, membership.Incarnation) {
 			return inputs.Self.Node, inputs.Node.Status().Incarnation
 		},
--- a/internal/proxy/claim/claim.go
+++ b/internal/proxy/claim/claim.go
@@ -1,6 +1,6 @@
 // Package claim makes a request with an Idempotency-Key run at most once even if a
 // node that remembers it fails: before the request runs, its node claims the key at the
-// key's replicas, and nearly all of them must grant it. Memory is a repeat.Memory that
+// key's replicas, and nearly all of them must grant it. Memory is a idempotency.Memory that
 // claims keys; Replica grants keys to the nodes of the fleet.
 //
 // # Guarantees
@@ -39,7 +39,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/winchhead/winchhead/internal/membership"
-	"github.com/winchhead/winchhead/internal/proxy/repeat"
+	"github.com/winchhead/winchhead/internal/proxy/idempotency"
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
@@ -100,7 +100,7 @@
 }
 
 // keyOf hashes a key together with its route.
-func keyOf(key repeat.Key) wire.ClaimKey {
+func keyOf(key idempotency.Key) wire.ClaimKey {
 	text := binary.AppendUvarint(nil, uint64(len(key.Route)))
 	text = append(text, key.Route...)
 	text = append(text, key.Value...)
--- a/internal/proxy/claim/memory.go
+++ b/internal/proxy/claim/memory.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/winchhead/winchhead/internal/membership"
-	"github.com/winchhead/winchhead/internal/proxy/repeat"
+	"github.com/winchhead/winchhead/internal/proxy/idempotency"
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 // Options configure a Memory. All but Registerer are required.
 type Options struct {
 	// Local remembers keys and their responses in this process.
-	Local repeat.Memory
+	Local idempotency.Memory
 	// Self identifies this process.
 	Self func() (membership.NodeID, membership.Incarnation)
 	View func() *membership.View
@@ -50,7 +50,7 @@
 	Registerer prometheus.Registerer
 }
 
-// Memory is a repeat.Memory that claims the key of a first request at the key's
+// Memory is a idempotency.Memory that claims the key of a first request at the key's
 // replicas before the request runs.
 type Memory struct {
 	options    Options
@@ -71,11 +71,11 @@
 // Close drops pending releases and closes all connections.
 func (m *Memory) Close() { m.pool.close() }
 
-// Begin implements repeat.Memory. The error is repeat.ErrNoQuorum if too few replicas
+// Begin implements idempotency.Memory. The error is idempotency.ErrNoQuorum if too few replicas
 // granted the key, or if two claims competed and neither won.
-func (m *Memory) Begin(ctx context.Context, key repeat.Key, fingerprint repeat.Fingerprint) (repeat.Claim, error) {
+func (m *Memory) Begin(ctx context.Context, key idempotency.Key, fingerprint idempotency.Fingerprint) (idempotency.Claim, error) {
 	local, err := m.options.Local.Begin(ctx, key, fingerprint)
-	if err != nil || local.Verdict != repeat.First {
+	if err != nil || local.Verdict != idempotency.First {
 		return local, err
 	}
 	startTime := time.Now()
@@ -83,40 +83,40 @@
 	outcome := attempt.run(ctx)
 	m.metrics.ended(outcome, time.Since(startTime))
 	if outcome == won {
-		return repeat.Claim{Verdict: repeat.First, Run: &claimedRun{Run: local.Run, attempt: attempt}}, nil
+		return idempotency.Claim{Verdict: idempotency.First, Run: &claimedRun{Run: local.Run, attempt: attempt}}, nil
 	}
-	local.Run.End(repeat.EndedNotRun, nil)
+	local.Run.End(idempotency.EndedNotRun, nil)
 	switch {
 	case outcome == conflict:
-		return repeat.Claim{Verdict: repeat.Conflict}, nil
+		return idempotency.Claim{Verdict: idempotency.Conflict}, nil
 	case outcome == taken && attempt.tally.running:
-		return repeat.Claim{Verdict: repeat.Running}, nil
+		return idempotency.Claim{Verdict: idempotency.Running}, nil
 	case outcome == taken:
-		return repeat.Claim{Verdict: repeat.Lost}, nil
+		return idempotency.Claim{Verdict: idempotency.Lost}, nil
 	default:
-		return repeat.Claim{}, repeat.ErrNoQuorum
+		return idempotency.Claim{}, idempotency.ErrNoQuorum
 	}
 }
 
 // claimedRun is the permission to run a request whose key was claimed.
 type claimedRun struct {
-	repeat.Run
+	idempotency.Run
 	attempt *attempt
 	ended   atomic.Bool
 }
 
-// End implements repeat.Run.
-func (r *claimedRun) End(ending repeat.Ending, response *repeat.Response) {
+// End implements idempotency.Run.
+func (r *claimedRun) End(ending idempotency.Ending, response *idempotency.Response) {
 	if !r.ended.CompareAndSwap(false, true) {
 		return
 	}
-	if ending == repeat.EndedNotRun {
+	if ending == idempotency.EndedNotRun {
 		r.attempt.release()
 	}
 	r.Run.End(ending, response)
 }
 
-func (m *Memory) newAttempt(ctx context.Context, key repeat.Key, fingerprint repeat.Fingerprint) *attempt {
+func (m *Memory) newAttempt(ctx context.Context, key idempotency.Key, fingerprint idempotency.Fingerprint) *attempt {
 	remaining := defaultRemaining
 	if deadline, ok := ctx.Deadline(); ok {
 		remaining = time.Until(deadline)
--- a/internal/proxy/claim/memory_test.go
+++ b/internal/proxy/claim/memory_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"github.com/winchhead/winchhead/internal/membership"
-	"github.com/winchhead/winchhead/internal/proxy/repeat"
+	"github.com/winchhead/winchhead/internal/proxy/idempotency"
 	"github.com/winchhead/winchhead/internal/wire"
 )
 
@@ -130,7 +130,7 @@
 	own := f.replicas[name]
 	f.mu.Unlock()
 	created, err := NewMemory(Options{
-		Local:   repeat.NewLocal(repeat.DefaultLimits(time.Minute)),
+		Local:   idempotency.NewLocal(idempotency.DefaultLimits(time.Minute)),
 		Self:    func() (membership.NodeID, membership.Incarnation) { return membership.NodeID(name), 1 },
 		View:    func() *membership.View { return f.view },
 		Replica: own, Dial: f.dial, Replicas: 5, Lifetime: time.Minute,
@@ -141,13 +141,13 @@
 }
 
 var (
-	testKey = repeat.Key{Route: "reservas/book", Value: "k"}
-	booking = repeat.NewFingerprint("POST", "/bookings", 4, []byte("body"))
-	another = repeat.NewFingerprint("POST", "/bookings", 4, []byte("else"))
+	testKey = idempotency.Key{Route: "reservas/book", Value: "k"}
+	booking = idempotency.NewFingerprint("POST", "/bookings", 4, []byte("body"))
+	another = idempotency.NewFingerprint("POST", "/bookings", 4, []byte("else"))
 )
 
 // begin claims the key for a request with a timeout of 4 s.
-func (f *fleet) begin(memory *Memory, fingerprint repeat.Fingerprint) (repeat.Claim, error) {
+func (f *fleet) begin(memory *Memory, fingerprint idempotency.Fingerprint) (idempotency.Claim, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	return memory.Begin(ctx, testKey, fingerprint)
@@ -159,28 +159,28 @@
 	for _, test := range []struct {
 		name        string
 		before      func(f *fleet)
-		ending      repeat.Ending // 0: still runs
+		ending      idempotency.Ending // 0: still runs
 		after       func(f *fleet)
-		fingerprint repeat.Fingerprint
-		verdict     repeat.Verdict // 0: no quorum
+		fingerprint idempotency.Fingerprint
+		verdict     idempotency.Verdict // 0: no quorum
 	}{
-		{"done", nil, repeat.EndedDone, nil, booking, repeat.Running},
-		{"done, deadline passed", nil, repeat.EndedDone, func(*fleet) { time.Sleep(5 * time.Second) }, booking, repeat.Lost},
-		{"done, key expired", nil, repeat.EndedDone, func(*fleet) { time.Sleep(65 * time.Second) }, booking, repeat.First},
-		{"still running", nil, 0, nil, booking, repeat.Running},
-		{"not run", nil, repeat.EndedNotRun, func(*fleet) { synctest.Wait() }, booking, repeat.First},
-		{"another request", nil, repeat.EndedDone, nil, another, repeat.Conflict},
-		{"owner restarted", nil, repeat.EndedDone, func(f *fleet) { f.restart("0") }, booking, repeat.Running},
-		{"owner killed", nil, repeat.EndedDone, func(f *fleet) { f.kill("0") }, booking, repeat.Running},
-		{"owner and another replica restarted", nil, repeat.EndedDone, func(f *fleet) { f.restart("0"); f.restart("4") }, booking, repeat.Running},
-		{"owner and another replica killed", nil, repeat.EndedDone, func(f *fleet) { f.kill("0", "4") }, booking, repeat.Running},
-		{"one unreachable at first, two others restarted", func(f *fleet) { f.kill("2") }, repeat.EndedDone,
-			func(f *fleet) { f.restart("0"); f.restart("2"); f.restart("4") }, booking, repeat.Running},
-		{"one silent at first, two others restarted", func(f *fleet) { f.setSilent("2", true) }, repeat.EndedDone,
-			func(f *fleet) { f.setSilent("2", false); f.restart("0"); f.restart("2"); f.restart("4") }, booking, repeat.Running},
-		{"not run, two killed", nil, repeat.EndedNotRun, func(f *fleet) { synctest.Wait(); f.kill("0", "4") }, booking, 0},
-		{"not run, one silent", nil, repeat.EndedNotRun, func(f *fleet) { synctest.Wait(); f.setSilent("4", true); f.restart("4") },
-			booking, repeat.First},
+		{"done", nil, idempotency.EndedDone, nil, booking, idempotency.Running},
+		{"done, deadline passed", nil, idempotency.EndedDone, func(*fleet) { time.Sleep(5 * time.Second) }, booking, idempotency.Lost},
+		{"done, key expired", nil, idempotency.EndedDone, func(*fleet) { time.Sleep(65 * time.Second) }, booking, idempotency.First},
+		{"still running", nil, 0, nil, booking, idempotency.Running},
+		{"not run", nil, idempotency.EndedNotRun, func(*fleet) { synctest.Wait() }, booking, idempotency.First},
+		{"another request", nil, idempotency.EndedDone, nil, another, idempotency.Conflict},
+		{"owner restarted", nil, idempotency.EndedDone, func(f *fleet) { f.restart("0") }, booking, idempotency.Running},
+		{"owner killed", nil, idempotency.EndedDone, func(f *fleet) { f.kill("0") }, booking, idempotency.Running},
+		{"owner and another replica restarted", nil, idempotency.EndedDone, func(f *fleet) { f.restart("0"); f.restart("4") }, booking, idempotency.Running},
+		{"owner and another replica killed", nil, idempotency.EndedDone, func(f *fleet) { f.kill("0", "4") }, booking, idempotency.Running},
+		{"one unreachable at first, two others restarted", func(f *fleet) { f.kill("2") }, idempotency.EndedDone,
+			func(f *fleet) { f.restart("0"); f.restart("2"); f.restart("4") }, booking, idempotency.Running},
+		{"one silent at first, two others restarted", func(f *fleet) { f.setSilent("2", true) }, idempotency.EndedDone,
+			func(f *fleet) { f.setSilent("2", false); f.restart("0"); f.restart("2"); f.restart("4") }, booking, idempotency.Running},
+		{"not run, two killed", nil, idempotency.EndedNotRun, func(f *fleet) { synctest.Wait(); f.kill("0", "4") }, booking, 0},
+		{"not run, one silent", nil, idempotency.EndedNotRun, func(f *fleet) { synctest.Wait(); f.setSilent("4", true); f.restart("4") },
+			booking, idempotency.First},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -190,7 +190,7 @@
 				}
 				first, err := f.begin(f.memory("0"), booking)
 				f.Assert(err, qt.IsNil)
-				f.Assert(first.Verdict, qt.Equals, repeat.First)
+				f.Assert(first.Verdict, qt.Equals, idempotency.First)
 				if test.ending != 0 {
 					first.Run.End(test.ending, nil)
 				}
@@ -199,7 +199,7 @@
 				}
 				again, err := f.begin(f.memory("1"), test.fingerprint)
 				f.Check(again.Verdict, qt.Equals, test.verdict)
-				f.Check(errors.Is(err, repeat.ErrNoQuorum), qt.Equals, test.verdict == 0, qt.Commentf("%v", err))
+				f.Check(errors.Is(err, idempotency.ErrNoQuorum), qt.Equals, test.verdict == 0, qt.Commentf("%v", err))
 			})
 		})
 	}
@@ -212,12 +212,12 @@
 		f := newFleet(t, 5)
 		f.kill("3", "4")
 		_, err := f.begin(f.memory("0"), booking)
-		f.Assert(errors.Is(err, repeat.ErrNoQuorum), qt.IsTrue)
+		f.Assert(errors.Is(err, idempotency.ErrNoQuorum), qt.IsTrue)
 		f.restart("4")
 		time.Sleep(2 * time.Second) // old links to the replica are closed by then
 		again, err := f.begin(f.memory("1"), booking)
 		f.Assert(err, qt.IsNil)
-		f.Check(again.Verdict, qt.Equals, repeat.First)
+		f.Check(again.Verdict, qt.Equals, idempotency.First)
 	})
 }
 
@@ -239,10 +239,10 @@
 		})
 		memory := f.memory("0")
 		_, err := f.begin(memory, booking)
-		f.Assert(errors.Is(err, repeat.ErrNoQuorum), qt.IsTrue)
+		f.Assert(errors.Is(err, idempotency.ErrNoQuorum), qt.IsTrue)
 		again, err := f.begin(memory, booking)
 		f.Assert(err, qt.IsNil)
-		f.Check(again.Verdict, qt.Equals, repeat.First)
+		f.Check(again.Verdict, qt.Equals, idempotency.First)
 	})
 }
 
@@ -252,7 +252,7 @@
 	for range 50 {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 5)
-			results := make(chan repeat.Verdict, 3)
+			results := make(chan idempotency.Verdict, 3)
 			for _, name := range []string{"0", "1", "2"} {
 				memory := f.memory(name)
 				go func() {
@@ -262,14 +262,14 @@
 			}
 			firsts := 0
 			for range 3 {
-				if <-results == repeat.First {
+				if <-results == idempotency.First {
 					firsts++
 				}
 			}
 			f.Assert(firsts <= 1, qt.IsTrue, qt.Commentf("%d ran", firsts))
 			time.Sleep(3 * time.Second) // until all releases have arrived
 			last, _ := f.begin(f.memory("3"), booking)
-			f.Assert(last.Verdict == repeat.First, qt.Equals, firsts == 0)
+			f.Assert(last.Verdict == idempotency.First, qt.Equals, firsts == 0)
 		})
 	}
 }
--- a/internal/proxy/repeat/repeat.go
+++ b/internal/proxy/idempotency/idempotency.go
@@ -1,8 +1,8 @@
-// Package repeat remembers requests by their Idempotency-Key, so that a request that
+// Package idempotency remembers requests by their Idempotency-Key, so that a request that
 // may run only once does not run again when its caller repeats it: the repeat gets the
 // first response or is refused. Memory is the interface; Local remembers keys in this
 // process, and a replicated implementation can take its place.
-package repeat
+package idempotency
 
 import (
 	"context"
--- a/internal/proxy/repeat/table.go
+++ b/internal/proxy/idempotency/table.go
@@ -1,4 +1,4 @@
-package repeat
+package idempotency
 
 import "time"
 
--- a/internal/proxy/inbound/idempotency.go
+++ b/internal/proxy/inbound/idempotency.go
@@ -6,8 +6,8 @@
 	"net/http"
 
 	"github.com/winchhead/winchhead/internal/proxy/forward"
+	"github.com/winchhead/winchhead/internal/proxy/idempotency"
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
-	"github.com/winchhead/winchhead/internal/proxy/repeat"
 )
 
 // fingerprintBytes is how much of a body is read before the request is sent, to tell a
@@ -16,13 +16,13 @@
 
 // idempotencyState is the state of an exchange whose request has an Idempotency-Key.
 type idempotencyState struct {
-	firstRun   repeat.Run       // set if this is the first request with its key
-	replay     *repeat.Response // set if the request repeats one whose response is remembered
-	recorded   *repeat.Response // response of the first request so far; nil if too large
-	completed  bool             // the response of the first request was complete
-	shed       bool             // the backend refused the request, which did not run
-	detached   bool             // continues when the sender disconnects
-	senderLost bool             // a write to the sender failed
+	firstRun   idempotency.Run       // set if this is the first request with its key
+	replay     *idempotency.Response // set if the request repeats one whose response is remembered
+	recorded   *idempotency.Response // response of the first request so far; nil if too large
+	completed  bool                  // the response of the first request was complete
+	shed       bool                  // the backend refused the request, which did not run
+	detached   bool                  // continues when the sender disconnects
+	senderLost bool                  // a write to the sender failed
 }
 
 // claim asks the memory about the request's key. It may set firstRun or replay.
@@ -31,7 +31,7 @@
 	if len(values) == 0 || !e.runsOnce() {
 		return nil
 	}
-	if len(values) > 1 || len(values[0]) > repeat.MaxKeyBytes {
+	if len(values) > 1 || len(values[0]) > idempotency.MaxKeyBytes {
 		return refusal(outcome.ReasonBadRequest, "want one short "+outcome.HeaderIdempotencyKey)
 	}
 	fingerprint, whole, problem := e.fingerprint()
@@ -40,8 +40,8 @@
 	}
 	ctx, cancel := context.WithDeadline(e.ctx, e.deadline)
 	defer cancel()
-	claim, err := e.proxy.memory.Begin(ctx, repeat.Key{Route: routeName, Value: values[0]}, fingerprint)
-	if errors.Is(err, repeat.ErrNoQuorum) {
+	claim, err := e.proxy.memory.Begin(ctx, idempotency.Key{Route: routeName, Value: values[0]}, fingerprint)
+	if errors.Is(err, idempotency.ErrNoQuorum) {
 		return refusal(outcome.ReasonNoQuorum, "")
 	}
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (e *exchange) fingerprint() (print repeat.Fingerprint, whole bool, problem *outcome.Problem) {
+func (e *exchange) fingerprint() (print idempotency.Fingerprint, whole bool, problem *outcome.Problem) {
 	var start []byte
 	length := e.request.ContentLength
 	whole = true
@@ -83,22 +83,22 @@
 	if whole {
 		length = int64(len(start))
 	}
-	return repeat.NewFingerprint(e.request.Method, e.request.URL.RequestURI(), length, start), whole, nil
+	return idempotency.NewFingerprint(e.request.Method, e.request.URL.RequestURI(), length, start), whole, nil
 }
 
 // problemForVerdict returns the refusal of a repeat that gets no response. Its outcome
 // is not "not run" unless the key was used with another request, as the first request
 // may have run.
-func problemForVerdict(verdict repeat.Verdict) *outcome.Problem {
+func problemForVerdict(verdict idempotency.Verdict) *outcome.Problem {
 	var problem outcome.Problem
 	switch verdict {
-	case repeat.Running:
+	case idempotency.Running:
 		problem = outcome.NewProblem(outcome.ReasonRepeatInProgress, outcome.Unknown, "")
-	case repeat.Done:
+	case idempotency.Done:
 		problem = outcome.NewProblem(outcome.ReasonRepeatDone, outcome.Unknown, "")
-	case repeat.Lost:
+	case idempotency.Lost:
 		problem = outcome.NewProblem(outcome.ReasonRepeatLost, outcome.Unknown, "")
-	case repeat.Conflict:
+	case idempotency.Conflict:
 		problem = outcome.NewProblem(outcome.ReasonRepeatConflict, outcome.NotRun, "")
 	default:
 		return nil
@@ -113,14 +113,14 @@
 	}
 	header := make(http.Header, len(response.Header))
 	forward.CopyForwardableHeader(header, response.Header.Clone())
-	e.recorded = &repeat.Response{Status: response.StatusCode, Header: header}
+	e.recorded = &idempotency.Response{Status: response.StatusCode, Header: header}
 }
 
 func (e *exchange) recordChunk(chunk []byte) {
 	if e.recorded == nil {
 		return
 	}
-	if len(e.recorded.Body)+len(chunk) > repeat.DefaultMaxResponseBytes {
+	if len(e.recorded.Body)+len(chunk) > idempotency.DefaultMaxResponseBytes {
 		e.recorded = nil
 		return
 	}
@@ -157,11 +157,11 @@
 	switch {
 	case e.firstRun == nil:
 	case e.completed:
-		e.firstRun.End(repeat.EndedDone, e.recorded)
+		e.firstRun.End(idempotency.EndedDone, e.recorded)
 	case e.shed || !e.send.Seal():
-		e.firstRun.End(repeat.EndedNotRun, nil)
+		e.firstRun.End(idempotency.EndedNotRun, nil)
 	default:
-		e.firstRun.End(repeat.EndedUnknown, nil)
+		e.firstRun.End(idempotency.EndedUnknown, nil)
 	}
 }
 
--- a/internal/proxy/inbound/idempotency_test.go
+++ b/internal/proxy/inbound/idempotency_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 
 	"github.com/winchhead/winchhead/internal/emulator/backend"
+	"github.com/winchhead/winchhead/internal/proxy/idempotency"
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
-	"github.com/winchhead/winchhead/internal/proxy/repeat"
 )
 
 // TestRepeatsRunOnce sends a request and a repeat of it with the same key.
@@ -108,10 +108,10 @@
 // noQuorum is a memory whose replicas are unreachable.
 type noQuorum struct{ deadlines chan bool }
 
-func (m noQuorum) Begin(ctx context.Context, _ repeat.Key, _ repeat.Fingerprint) (repeat.Claim, error) {
+func (m noQuorum) Begin(ctx context.Context, _ idempotency.Key, _ idempotency.Fingerprint) (idempotency.Claim, error) {
 	_, bounded := ctx.Deadline()
 	m.deadlines <- bounded
-	return repeat.Claim{}, repeat.ErrNoQuorum
+	return idempotency.Claim{}, idempotency.ErrNoQuorum
 }
 
 // A request whose key too few nodes can remember must be refused as not run.
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -18,7 +18,7 @@
 	"github.com/winchhead/winchhead/internal/membership"
 	"github.com/winchhead/winchhead/internal/proxy/admission"
 	"github.com/winchhead/winchhead/internal/proxy/forward"
-	"github.com/winchhead/winchhead/internal/proxy/repeat"
+	"github.com/winchhead/winchhead/internal/proxy/idempotency"
 	"github.com/winchhead/winchhead/internal/settings"
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
@@ -48,7 +48,7 @@
 	Logger      logrus.FieldLogger
 	Registerer  prometheus.Registerer
 	// Memory remembers Idempotency-Keys; nil means a memory in this process only.
-	Memory repeat.Memory
+	Memory idempotency.Memory
 }
 
 // Proxy forwards requests of other nodes to the backend. It is safe for concurrent
@@ -62,7 +62,7 @@
 	logger      logrus.FieldLogger
 	metrics     *metrics
 	admission   *admission.Controller
-	memory      repeat.Memory
+	memory      idempotency.Memory
 	backend     *backendClient
 	readiness   *readinessPublisher
 	pauses      pauseDetector
@@ -102,7 +102,7 @@
 		cancel:      cancel,
 	}
 	if proxy.memory == nil {
-		proxy.memory = repeat.NewLocal(repeat.DefaultLimits(options.Settings.IdempotencyKeyRetention))
+		proxy.memory = idempotency.NewLocal(idempotency.DefaultLimits(options.Settings.IdempotencyKeyRetention))
 	}
 	proxy.admission = admission.NewController(proxy.admissionLimits(snapshot.Service{}))
 	proxy.readiness = newReadinessPublisher(options.Publisher, options.Logger, proxy.reportsHealth())
--- a/internal/proxy/inbound/metrics.go
+++ b/internal/proxy/inbound/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/rotisserie/eris"
 
 	"github.com/winchhead/winchhead/internal/proxy/admission"
-	"github.com/winchhead/winchhead/internal/proxy/repeat"
+	"github.com/winchhead/winchhead/internal/proxy/idempotency"
 )
 
 // metricPrefix is the prefix of the names of all metrics of the package.
@@ -63,6 +63,8 @@
 	}
 }
 
-func (m *metrics) ended(end exchangeEnd)          { m.requests.WithLabelValues(end.name).Inc() }
-func (m *metrics) shed(cause admission.Cause)     { m.refused.WithLabelValues(cause.String()).Inc() }
-func (m *metrics) claimed(verdict repeat.Verdict) { m.keys.WithLabelValues(verdict.String()).Inc() }
+func (m *metrics) ended(end exchangeEnd)      { m.requests.WithLabelValues(end.name).Inc() }
+func (m *metrics) shed(cause admission.Cause) { m.refused.WithLabelValues(cause.String()).Inc() }
+func (m *metrics) claimed(verdict idempotency.Verdict) {
+	m.keys.WithLabelValues(verdict.String()).Inc()
+}
