--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"github.com/winchhead/winchhead/internal/emulator/platform"
-	"github.com/winchhead/winchhead/internal/keys/throwaway"
+	"github.com/winchhead/winchhead/internal/keys/testcerts"
 	"github.com/winchhead/winchhead/internal/logging"
 	"github.com/winchhead/winchhead/internal/membership"
 	"github.com/winchhead/winchhead/internal/settings"
@@ -72,7 +72,7 @@
 
 // enableTLS gives all nodes keys of one certificate authority.
 func (r *harness) enableTLS() {
-	authority, err := throwaway.NewAuthority()
+	authority, err := testcerts.NewAuthority()
 	r.c.Assert(err, qt.IsNil)
 	r.tls, err = authority.WriteNode(r.c.TempDir(), "node")
 	r.c.Assert(err, qt.IsNil)
--- a/internal/distribution/claims_test.go
+++ b/internal/distribution/claims_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"github.com/winchhead/winchhead/internal/distribution"
-	"github.com/winchhead/winchhead/internal/keys/throwaway"
+	"github.com/winchhead/winchhead/internal/keys/testcerts"
 	"github.com/winchhead/winchhead/internal/logging"
 	"github.com/winchhead/winchhead/internal/membership"
 	"github.com/winchhead/winchhead/internal/wire"
@@ -46,9 +46,9 @@
 // authority, with keys of another one, and to a node that does not serve claims.
 func TestClaimStreams(t *testing.T) {
 	c := qt.New(t)
-	authority, err := throwaway.NewAuthority()
+	authority, err := testcerts.NewAuthority()
 	c.Assert(err, qt.IsNil)
-	otherAuthority, err := throwaway.NewAuthority()
+	otherAuthority, err := testcerts.NewAuthority()
 	c.Assert(err, qt.IsNil)
 	config := nodeKeys(c, authority).NodeConfig()
 	for _, test := range []struct {
--- a/internal/distribution/node_test.go
+++ b/internal/distribution/node_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/winchhead/winchhead/internal/distribution"
 	"github.com/winchhead/winchhead/internal/keys"
-	"github.com/winchhead/winchhead/internal/keys/throwaway"
+	"github.com/winchhead/winchhead/internal/keys/testcerts"
 	"github.com/winchhead/winchhead/internal/logging"
 	"github.com/winchhead/winchhead/internal/membership"
 	"github.com/winchhead/winchhead/internal/snapshot"
@@ -255,10 +255,10 @@
 }
 
 func TestInvalidPeersAreRejected(t *testing.T) {
-	authority, err := throwaway.NewAuthority()
+	authority, err := testcerts.NewAuthority()
 	qt.Assert(t, err, qt.IsNil)
 	trusted := nodeKeys(qt.New(t), authority).NodeConfig()
-	other, err := throwaway.NewAuthority()
+	other, err := testcerts.NewAuthority()
 	qt.Assert(t, err, qt.IsNil)
 	untrusted := nodeKeys(qt.New(t), other).NodeConfig()
 	untrusted.VerifyConnection = nil
@@ -298,8 +298,8 @@
 	}
 }
 
-func nodeKeys(c *qt.C, authority *throwaway.Authority) *keys.Keys {
-	pair, err := authority.Issue(throwaway.Request{Name: "node"})
+func nodeKeys(c *qt.C, authority *testcerts.Authority) *keys.Keys {
+	pair, err := authority.Issue(testcerts.Request{Name: "node"})
 	c.Assert(err, qt.IsNil)
 	loaded, err := keys.FromPEM(pair.Certificate, pair.Key, authority.Certificate())
 	c.Assert(err, qt.IsNil)
@@ -308,7 +308,7 @@
 
 func TestNodesLinkWithKeys(t *testing.T) {
 	c := qt.New(t)
-	authority, err := throwaway.NewAuthority()
+	authority, err := testcerts.NewAuthority()
 	c.Assert(err, qt.IsNil)
 	platform := newFakePlatform()
 	platform.document = document(1)
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -16,21 +16,21 @@
 	logrustest "github.com/sirupsen/logrus/hooks/test"
 
 	"github.com/winchhead/winchhead/internal/keys"
-	"github.com/winchhead/winchhead/internal/keys/throwaway"
+	"github.com/winchhead/winchhead/internal/keys/testcerts"
 	"github.com/winchhead/winchhead/internal/settings"
 )
 
 // payload is what each side sends on an accepted connection.
 const payload = "for nodes only"
 
-func newAuthority(c *qt.C) *throwaway.Authority {
-	authority, err := throwaway.NewAuthority()
+func newAuthority(c *qt.C) *testcerts.Authority {
+	authority, err := testcerts.NewAuthority()
 	c.Assert(err, qt.IsNil)
 	return authority
 }
 
-func newKeys(c *qt.C, authority *throwaway.Authority) *keys.Keys {
-	pair, err := authority.Issue(throwaway.Request{Name: "node"})
+func newKeys(c *qt.C, authority *testcerts.Authority) *keys.Keys {
+	pair, err := authority.Issue(testcerts.Request{Name: "node"})
 	c.Assert(err, qt.IsNil)
 	k, err := keys.FromPEM(pair.Certificate, pair.Key, authority.Certificate())
 	c.Assert(err, qt.IsNil)
@@ -38,7 +38,7 @@
 }
 
 // permissiveConfig returns a configuration that presents a certificate and accepts any peer.
-func permissiveConfig(c *qt.C, authority *throwaway.Authority, request throwaway.Request) *tls.Config {
+func permissiveConfig(c *qt.C, authority *testcerts.Authority, request testcerts.Request) *tls.Config {
 	pair, err := authority.Issue(request)
 	c.Assert(err, qt.IsNil)
 	certificate, err := tls.X509KeyPair(pair.Certificate, pair.Key)
@@ -93,11 +93,11 @@
 	authority := newAuthority(c)
 	otherAuthority := newAuthority(c)
 	node := newKeys(c, authority)
-	valid := throwaway.Request{Name: "node"}
-	expired := throwaway.Request{Name: "node", NotAfter: time.Now().Add(-time.Minute)}
-	serverOnly := throwaway.Request{Name: "node", Usages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}
-	clientOnly := throwaway.Request{Name: "node", Usages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
-	noUsage := throwaway.Request{Name: "node", Usages: []x509.ExtKeyUsage{}}
+	valid := testcerts.Request{Name: "node"}
+	expired := testcerts.Request{Name: "node", NotAfter: time.Now().Add(-time.Minute)}
+	serverOnly := testcerts.Request{Name: "node", Usages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}
+	clientOnly := testcerts.Request{Name: "node", Usages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
+	noUsage := testcerts.Request{Name: "node", Usages: []x509.ExtKeyUsage{}}
 	tls12 := permissiveConfig(c, authority, valid)
 	tls12.MaxVersion = tls.VersionTLS12
 	noCertificate := &tls.Config{InsecureSkipVerify: true}
@@ -204,9 +204,9 @@
 		c.Assert(hook.LastEntry().Level, qt.Equals, logrus.ErrorLevel)
 		c.Assert(accepts(c, k, oldAuthority), qt.IsTrue, qt.Commentf("the old keys must stay in use"))
 
-		pair, err := newAuthority.Issue(throwaway.Request{Name: "node"})
+		pair, err := newAuthority.Issue(testcerts.Request{Name: "node"})
 		c.Assert(err, qt.IsNil)
-		c.Assert(throwaway.Write(files, pair, newAuthority), qt.IsNil)
+		c.Assert(testcerts.Write(files, pair, newAuthority), qt.IsNil)
 		waitForReload()
 		c.Assert(accepts(c, k, newAuthority), qt.IsTrue)
 		c.Assert(accepts(c, k, oldAuthority), qt.IsFalse)
@@ -215,7 +215,7 @@
 }
 
 // accepts reports whether k and a node of the authority accept each other's certificates.
-func accepts(c *qt.C, k *keys.Keys, authority *throwaway.Authority) bool {
+func accepts(c *qt.C, k *keys.Keys, authority *testcerts.Authority) bool {
 	atServer, atClient := exchange(c, k.ServerConfig(), newKeys(c, authority).ClientConfig())
 	return atServer == payload && atClient == payload
 }
--- a/internal/keys/throwaway/throwaway.go
+++ b/internal/keys/testcerts/testcerts.go
@@ -1,7 +1,7 @@
-// Package throwaway creates a certificate authority and node certificates for
+// Package testcerts creates a certificate authority and node certificates for
 // benchmarks and tests. Nodes in production do not use it: the keys are not
 // protected and the authority exists only as long as the process.
-package throwaway
+package testcerts
 
 import (
 	"crypto/ecdsa"
--- a/test/integration/tls_test.go
+++ b/test/integration/tls_test.go
@@ -14,7 +14,7 @@
 	"github.com/winchhead/winchhead/internal/bench/load"
 	"github.com/winchhead/winchhead/internal/bench/mesh"
 	"github.com/winchhead/winchhead/internal/emulator/backend"
-	"github.com/winchhead/winchhead/internal/keys/throwaway"
+	"github.com/winchhead/winchhead/internal/keys/testcerts"
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 	"github.com/winchhead/winchhead/internal/settings"
 )
@@ -23,7 +23,7 @@
 // must be answered, while clients without a key of the fleet's authority get no answer.
 func TestMutualTLS(t *testing.T) {
 	t.Parallel()
-	authority, err := throwaway.NewAuthority()
+	authority, err := testcerts.NewAuthority()
 	qt.Assert(t, err, qt.IsNil)
 	files, err := authority.WriteNode(t.TempDir(), "node")
 	qt.Assert(t, err, qt.IsNil)
@@ -58,9 +58,9 @@
 
 // untrustedDialers returns ways to connect without a key of the fleet's authority.
 func untrustedDialers(t testing.TB) map[string]dialer {
-	other, err := throwaway.NewAuthority()
+	other, err := testcerts.NewAuthority()
 	qt.Assert(t, err, qt.IsNil)
-	pair, err := other.Issue(throwaway.Request{Name: "untrusted"})
+	pair, err := other.Issue(testcerts.Request{Name: "untrusted"})
 	qt.Assert(t, err, qt.IsNil)
 	certificate, err := tls.X509KeyPair(pair.Certificate, pair.Key)
 	qt.Assert(t, err, qt.IsNil)
