--- a/internal/bench/repeatjudge/repeatjudge.go
+++ b/internal/bench/repeatcheck/repeatcheck.go
@@ -1,7 +1,7 @@
-// Package repeatjudge checks, from what callers and instances observed, that a fleet kept its
+// Package repeatcheck checks, from what callers and instances observed, that a fleet kept its
 // limit on repeats: within any time window, the arrivals at a service beyond the first of each
 // request must not exceed a ratio of the service's requests plus a constant slack.
-package repeatjudge
+package repeatcheck
 
 import (
 	"cmp"
--- a/internal/bench/repeatjudge/repeatjudge_test.go
+++ b/internal/bench/repeatcheck/repeatcheck_test.go
@@ -1,4 +1,4 @@
-package repeatjudge_test
+package repeatcheck_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"github.com/winchhead/winchhead/internal/bench/repeatjudge"
+	"github.com/winchhead/winchhead/internal/bench/repeatcheck"
 )
 
 // every returns the times from from (included) to to (excluded) at intervals of step.
@@ -18,27 +18,27 @@
 }
 
 func TestWorst(t *testing.T) {
-	bound := repeatjudge.Bound{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
+	bound := repeatcheck.Bound{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 	for name, row := range map[string]struct {
-		seen repeatjudge.Observations
-		want repeatjudge.Window
+		seen repeatcheck.Observations
+		want repeatcheck.Window
 	}{
 		"no requests": {},
 		"all requests and repeats in one window": {
-			repeatjudge.Observations{Requests: every(100*time.Millisecond, 0, 10*time.Second), Repeats: every(time.Second, 0, 10*time.Second)},
-			repeatjudge.Window{Share: 10.0 / 30, Beyond: 10, Requests: 100, Allowed: 30},
+			repeatcheck.Observations{Requests: every(100*time.Millisecond, 0, 10*time.Second), Repeats: every(time.Second, 0, 10*time.Second)},
+			repeatcheck.Window{Share: 10.0 / 30, Beyond: 10, Requests: 100, Allowed: 30},
 		},
 		"requests in the window before the repeats": {
-			repeatjudge.Observations{Requests: every(100*time.Millisecond, 0, 10*time.Second), Repeats: every(100*time.Millisecond, 10*time.Second, 14*time.Second)},
-			repeatjudge.Window{Share: 40.0 / 30, From: 10 * time.Second, Beyond: 40, Requests: 100, Allowed: 30},
+			repeatcheck.Observations{Requests: every(100*time.Millisecond, 0, 10*time.Second), Repeats: every(100*time.Millisecond, 10*time.Second, 14*time.Second)},
+			repeatcheck.Window{Share: 40.0 / 30, From: 10 * time.Second, Beyond: 40, Requests: 100, Allowed: 30},
 		},
 		"repeats at both ends of a window": {
-			repeatjudge.Observations{Repeats: []time.Duration{0, 10 * time.Second}},
-			repeatjudge.Window{Share: 0.2, Beyond: 2, Allowed: 10},
+			repeatcheck.Observations{Repeats: []time.Duration{0, 10 * time.Second}},
+			repeatcheck.Window{Share: 0.2, Beyond: 2, Allowed: 10},
 		},
 		"repeats in two windows": {
-			repeatjudge.Observations{Repeats: []time.Duration{0, 10*time.Second + 1}},
-			repeatjudge.Window{Share: 0.1, Beyond: 1, Allowed: 10},
+			repeatcheck.Observations{Repeats: []time.Duration{0, 10*time.Second + 1}},
+			repeatcheck.Window{Share: 0.1, Beyond: 1, Allowed: 10},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/bench/storesoak/check.go
+++ b/internal/bench/storesoak/check.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/winchhead/winchhead/internal/bench/repeatjudge"
+	"github.com/winchhead/winchhead/internal/bench/repeatcheck"
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 	"github.com/winchhead/winchhead/internal/settings"
 )
@@ -182,7 +182,7 @@
 		return
 	}
 	configured := settings.Defaults().Retries
-	bound := repeatjudge.Bound{Ratio: configured.Ratio, Slack: configured.Slack, Window: configured.Window}
+	bound := repeatcheck.Bound{Ratio: configured.Ratio, Slack: configured.Slack, Window: configured.Window}
 	for _, service := range []string{serviceRead, serviceWrite} {
 		worst := s.fleet.nested.observed(service, calls[0].sent, calls).Worst(bound)
 		s.report.RetryBoundShare = max(s.report.RetryBoundShare, worst.Share)
--- a/internal/bench/storesoak/nested.go
+++ b/internal/bench/storesoak/nested.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"github.com/winchhead/winchhead/internal/bench/repeatjudge"
+	"github.com/winchhead/winchhead/internal/bench/repeatcheck"
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 )
 
@@ -140,10 +140,10 @@
 // observed returns the requests that callers and instances sent to a service and its repeated
 // arrivals, with their times relative to since. All arrivals of nested calls that a retried
 // run made count as repeated.
-func (n *nestedCalls) observed(service string, since time.Time, calls []*call) repeatjudge.Observations {
+func (n *nestedCalls) observed(service string, since time.Time, calls []*call) repeatcheck.Observations {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var seen repeatjudge.Observations
+	var seen repeatcheck.Observations
 	for _, each := range calls {
 		if each.service() == service {
 			seen.Requests = append(seen.Requests, each.sent.Sub(since))
--- a/internal/dataplane/budget/fleet_test.go
+++ b/internal/dataplane/budget/fleet_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
 
-	"github.com/winchhead/winchhead/internal/bench/repeatjudge"
+	"github.com/winchhead/winchhead/internal/bench/repeatcheck"
 	"github.com/winchhead/winchhead/internal/dataplane/budget"
 )
 
@@ -63,7 +63,7 @@
 	events  eventHeap
 	nodes   []*fleetNode
 	nodesOf [3][]*fleetNode
-	seen    [3]repeatjudge.Observations
+	seen    [3]repeatcheck.Observations
 	repeats int
 }
 
@@ -226,7 +226,7 @@
 func (f *fleet) check(t interface {
 	Errorf(format string, args ...any)
 }) (worst float64) {
-	bound := repeatjudge.Bound{Ratio: fleetBound.Ratio, Slack: fleetBound.Slack, Window: fleetBound.Window}
+	bound := repeatcheck.Bound{Ratio: fleetBound.Ratio, Slack: fleetBound.Slack, Window: fleetBound.Window}
 	for service, each := range f.seen {
 		found := each.Worst(bound)
 		if found.Share > 1 {
