--- a/internal/dataplane/budget/fleet_test.go
+++ b/internal/dataplane/budget/fleet_test.go
@@ -16,7 +16,7 @@
 
 // A simulation of a fleet with a simulated clock: each node has one instance, services call each
 // other in a chain of three, and the nodes make as many repeats as the package allows.
-// Package repeatjudge checks the sends against the bound.
+// Package repeatcheck checks the sends against the bound.
 
 // graph lists the services, each of which calls the next.
 var graph = []string{"first", "second", "third"}
