--- a/internal/dataplane/balance/balance.go
+++ b/internal/dataplane/balance/balance.go
@@ -21,7 +21,7 @@
 const (
 	// Served: the instance answered.
 	Served Result = 1
-	// Busy: the node beside the instance had no slot for the request.
+	// Busy: the instance's sidecar had no slot for the request.
 	Busy Result = 2
 	// NotAccepting: the instance or its node accepts no new requests, or another instance
 	// runs at the address.
@@ -60,7 +60,7 @@
 // Options set up a Balancer.
 type Options struct {
 	Zone string
-	// LocalAddress is the address of the instance beside this node; empty: none.
+	// LocalAddress is the address of this node's instance; empty: none.
 	LocalAddress string
 	// Mechanisms are the mechanisms that are switched on.
 	Mechanisms mechanism.Set
@@ -111,7 +111,7 @@
 	ExpectedLatency, ServiceTime time.Duration
 	// MeanServiceTime is how long an instance of average speed takes.
 	MeanServiceTime time.Duration
-	// Local is set if the instance is the one beside this node.
+	// Local is set if this node is the instance's sidecar.
 	Local bool
 
 	balancer *Balancer
@@ -286,7 +286,7 @@
 	Recovered Transition = 2
 )
 
-// Done reports how the request ended. report is nil if the node beside the instance sent
+// Done reports how the request ended. report is nil if the instance's sidecar sent
 // none; bytes is the size of the answer.
 func (c Choice) Done(result Result, report *hop.Report, bytes int, now time.Time) Transition {
 	b := c.balancer
--- a/internal/dataplane/balance/instance_state.go
+++ b/internal/dataplane/balance/instance_state.go
@@ -45,7 +45,7 @@
 	backlog  time.Duration
 	linkRate float64
 	// slowdown is the instance's service time divided by that of an average instance, as of
-	// slowdownUpdatedAt. slowdownReported says that the node beside the instance measured
+	// slowdownUpdatedAt. slowdownReported says that the instance's sidecar measured
 	// it, from the requests of all senders.
 	slowdown          float64
 	slowdownUpdatedAt time.Time
@@ -137,7 +137,7 @@
 	s.slowdown, s.slowdownUpdatedAt = min(max(current, minSlowdown), maxSlowdown), now
 }
 
-// setReportedSlowdown sets the slowdown that the node beside the instance measured, in
+// setReportedSlowdown sets the slowdown that the instance's sidecar measured, in
 // hundredths.
 func (s *instanceState) setReportedSlowdown(hundredths int, now time.Time) {
 	if hundredths <= 0 {
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -29,13 +29,12 @@
 
 const (
 	// UsableShare is the fraction of a node's part of the bound that the node uses. The rest is
-	// a margin, because the share of repeated calls and the calls per run are estimates: the
-	// fleets of TestFleetKeepsTheBound use up to 0.9 of the bound.
+	// a margin, because the share of repeated calls and the calls per run are estimates:
+	// TestFleetKeepsTheBound uses up to 0.9 of the bound.
 	UsableShare = 0.8
 	// failedCallFactor is the number of calls made by a run whose request failed at an
-	// instance before, as a multiple of the mean of all runs. Requests that make calls fail
-	// more often, because their calls may fail: they make, for example, 1.9 calls where the
-	// mean is 1.4.
+	// instance before, as a multiple of the mean of all runs. It is an upper bound: requests that
+	// make more calls than the mean fail more often, because their calls may fail.
 	failedCallFactor = 2
 	// maxInherited caps the probability that a call counts as made by a repeated run. It is
 	// below 1 because only sends that are repeats for sure may be refused.
--- a/internal/dataplane/budget/budget_test.go
+++ b/internal/dataplane/budget/budget_test.go
@@ -27,9 +27,9 @@
 	return repeats
 }
 
-// warm returns the accounts of a node that has run for longer than a window in a fleet of
-// the given number of nodes.
-func warm(options budget.Options, nodes int, now time.Time) *budget.Accounts {
+// newAfterWindow returns the counters of a node that has run for longer than one window, in a
+// fleet of the given number of nodes.
+func newAfterWindow(options budget.Options, nodes int, now time.Time) *budget.Accounts {
 	a := budget.New(options)
 	a.RecordRequest(service, false, now.Add(-3*options.Window))
 	a.SetInstanceCount(nodes, now)
@@ -42,7 +42,7 @@
 	now := time.Now()
 	requests, repeats := 0, 0
 	for node := range 12 {
-		a := warm(bound, 12, now)
+		a := newAfterWindow(bound, 12, now)
 		for range node * 20 {
 			a.RecordRequest(service, false, now)
 			requests++
@@ -57,7 +57,7 @@
 func TestCountsExpire(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	a := warm(bound, 12, now)
+	a := newAfterWindow(bound, 12, now)
 	for range 100 {
 		a.RecordRequest(service, false, now)
 	}
@@ -74,7 +74,7 @@
 	c := qt.New(t)
 	for offset := range 25 {
 		now := time.Now().Add(time.Duration(offset) * 40 * time.Millisecond)
-		a := warm(bound, 1, now)
+		a := newAfterWindow(bound, 1, now)
 		c.Assert(spend(a, now), qt.Equals, int(steady*bound.Slack))
 		c.Check(spend(a, now.Add(bound.Window-time.Millisecond)), qt.Equals, 0)
 		b := budget.New(bound)
@@ -114,14 +114,14 @@
 // are not listed, as their nodes continue to make repeats.
 func TestMissingEntriesDoNotAddSlack(t *testing.T) {
 	now := time.Now()
-	a := warm(bound, 12, now)
+	a := newAfterWindow(bound, 12, now)
 	a.SetInstanceCount(1, now.Add(time.Second))
 	qt.Check(t, spend(a, now.Add(time.Second)), qt.Equals, int(steady*bound.Slack/12))
 }
 
 func TestReturnedRepeatsDoNotCount(t *testing.T) {
 	now := time.Now()
-	a := warm(bound, 12, now)
+	a := newAfterWindow(bound, 12, now)
 	first := spend(a, now)
 	a.ReturnRepeat(service, now)
 	qt.Check(t, first > 0, qt.IsTrue)
@@ -134,7 +134,7 @@
 func TestCallsOfRepeatedRuns(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	a := warm(bound, 12, now) // a slack of 4 of 60
+	a := newAfterWindow(bound, 12, now) // a slack of 4 of 60
 	for range 10 {
 		run, admitted := a.Begin(budget.Repetition{}, now)
 		c.Assert(admitted, qt.IsTrue)
@@ -180,7 +180,7 @@
 func TestSetOptions(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
-	a := warm(budget.Options{Window: time.Second}, 1, now)
+	a := newAfterWindow(budget.Options{Window: time.Second}, 1, now)
 	c.Check(spend(a, now), qt.Equals, 0)
 	a.SetOptions(budget.Options{Slack: 10, Window: time.Second})
 	c.Check(spend(a, now), qt.Equals, int(steady*10))
--- a/internal/dataplane/callerretry/callerretry.go
+++ b/internal/dataplane/callerretry/callerretry.go
@@ -50,7 +50,7 @@
 
 // route holds the data about the callers of one route.
 type route struct {
-	// times counts the wait times that callers state, by bucket.
+	// times counts requests by the timeout that the caller sent, in buckets.
 	times map[int]float64
 	total float64
 	// refused and returned count refusals and retries. They decay with halfLife and are as
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -1,6 +1,6 @@
 // Package dataplane is the request path of a node whose configuration has typed routes and
 // instances: its server and outbound proxy accept the requests of callers, and send them to the
-// node beside the chosen instance, whose server and inbound proxy deliver them.
+// sidecar of the chosen instance, whose server and inbound proxy deliver them.
 package dataplane
 
 import (
@@ -28,13 +28,13 @@
 type Options struct {
 	Names     message.Names
 	Snapshots interface{ Current() *snapshot.Snapshot }
-	// Service, Zone and Backend are the service, zone and address of the instance beside the node.
+	// Service, Zone and Backend are the service, zone and address of the node's instance.
 	Service, Zone, Backend string
 	// Slots is the number of slots of an instance whose entry gives none.
 	Slots int
 	// Cold limits how far the cold rate of a service may be exceeded.
 	Cold inbound.ColdBounds
-	// NodePort is the port on which the nodes beside other instances accept requests.
+	// NodePort is the port on which the sidecars of other instances accept requests.
 	NodePort int
 	// LinkBytesPerSecond is the capacity of the machine's network link; zero: not known.
 	LinkBytesPerSecond float64
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -30,8 +30,8 @@
 // Current returns the snapshot.
 func (f fixedSource) Current() *snapshot.Snapshot { return f.snapshot }
 
-// startNode runs a data plane beside an emulated instance and returns it with its address for
-// callers.
+// startNode runs the data plane of an emulated instance's sidecar and returns it with its address
+// for callers.
 func startNode(c *qt.C) (node *dataplane.Node, callers string) {
 	emulated := &instance.Instance{Name: "i-1"}
 	backend, err := emulated.Start()
@@ -114,7 +114,7 @@
 	c.Assert(err, qt.IsNil)
 	_, err = io.ReadAll(response.Body)
 	c.Assert(err, qt.IsNil)
-	// The only instance is beside the node that drains, so the request is refused.
+	// The sidecar of the only instance drains, so the request is refused.
 	c.Check(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	c.Check(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 	c.Check(<-stopped, qt.IsNil)
--- a/internal/dataplane/inbound/cold.go
+++ b/internal/dataplane/inbound/cold.go
@@ -43,9 +43,9 @@
 	lastSnapshot *snapshot.Snapshot
 	// endedEvacuations is the last known number of times that an evacuation of the zone was ended.
 	endedEvacuations int
-	// lastUnlisted is the last instance to which a request was addressed before it was
-	// listed here.
-	lastUnlisted string
+	// lastUnlistedInstance is the last instance that a sender with a newer configuration
+	// addressed before it was listed here.
+	lastUnlistedInstance string
 }
 
 func newColdTracker(options Options) *coldTracker {
@@ -81,10 +81,10 @@
 func (c *coldTracker) noteUnlisted(name string, current *snapshot.Snapshot, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.lastUnlisted == name {
+	if c.lastUnlistedInstance == name {
 		return
 	}
-	c.lastUnlisted = name
+	c.lastUnlistedInstance = name
 	service, _ := current.Service(c.service)
 	c.phase.AssumeCold(coldDuration(service), now)
 	c.limit.Set(c.bounds.boundsOf(service), c.phase.Until(), now)
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -55,7 +55,7 @@
 	return snapshot.InstanceID{Name: name}
 }
 
-var errNoStamp = errors.New("the instance's response lacks the required stamp header")
+var errNoStamp = errors.New("the instance's response lacks the header that identifies the server")
 
 // instanceRequest returns the request as it is sent to the instance.
 func (p *Proxy) instanceRequest(request *message.Request, order hop.Order, deadline time.Time) *client.Request {
--- a/internal/dataplane/outbound/exchange.go
+++ b/internal/dataplane/outbound/exchange.go
@@ -25,8 +25,8 @@
 	// maxBudgetRefusals limits the nodes that may refuse a repeat because the calls of its run
 	// would exceed the repeat budget: where two have no budget for them, most have none.
 	maxBudgetRefusals = 2
-	// hopMargin is how much earlier the request's deadline is beside the instance than at this
-	// node, so that the report of that node still arrives in time.
+	// hopMargin is how much earlier the request's deadline is at the sidecar than at this
+	// node, so that the report of the sidecar still arrives in time.
 	hopMargin = 10 * time.Millisecond
 	// minRepeatTime is the least time that must be left for a repeat.
 	minRepeatTime = 20 * time.Millisecond
@@ -54,8 +54,8 @@
 	// of a further send, which depends on the result of the last one that did.
 	arrivals int
 	nextKind repeats.Kind
-	// repeatProbability is the probability that the request was sent by an instance while it
-	// executed a repeat of another request.
+	// repeatProbability is the probability that the caller is an instance that sent this
+	// request while executing a repeat of another request.
 	repeatProbability float64
 	// repeatReserved is set while a repeat is taken from the budget that has reached no
 	// instance yet; budgetRefusals counts the refusals for lack of repeat budget.
@@ -81,7 +81,7 @@
 type sendResult struct {
 	report hop.Report
 	answer *message.Response // set if the report's outcome is hop.Answered
-	// reported is false if the node beside the instance sent no report.
+	// reported is false if the instance's sidecar sent no report.
 	reported bool
 	err      error
 }
--- a/internal/dataplane/outbound/external_routes.go
+++ b/internal/dataplane/outbound/external_routes.go
@@ -5,8 +5,8 @@
 // maxExternalRoutes limits the number of routes that are kept.
 const maxExternalRoutes = 10_000
 
-// externalRoutes are the routes whose requests start beside all services, by the reports of the
-// nodes beside instances: external callers send them. Requests of all other routes may be calls
+// externalRoutes are the routes whose requests start outside all services, by the reports of the
+// instances' sidecars: external callers send them. Requests of all other routes may be calls
 // of instances. It is safe for concurrent use.
 type externalRoutes struct {
 	mutex sync.RWMutex
--- a/internal/dataplane/outbound/order.go
+++ b/internal/dataplane/outbound/order.go
@@ -26,7 +26,7 @@
 	finalAttemptTargets = 2
 )
 
-// order returns the instructions for the node beside the instance.
+// order returns the instructions for the instance's sidecar.
 func (e *exchange) order(choice balance.Choice) hop.Order {
 	remaining := time.Until(e.deadline)
 	if remaining > 4*hopMargin && !choice.Local {
--- a/internal/dataplane/outbound/order_test.go
+++ b/internal/dataplane/outbound/order_test.go
@@ -11,7 +11,8 @@
 
 const ms = time.Millisecond
 
-// TestDue: how long a request may still wait, and the value of its answer then.
+// TestDue checks how long a request may still wait for a slot, and which value (Full, Reduced
+// or Late) its answer then has.
 func TestDue(t *testing.T) {
 	for name, row := range map[string]struct {
 		allowed, waited, elapsed, wait time.Duration
--- a/internal/dataplane/outbound/outbound.go
+++ b/internal/dataplane/outbound/outbound.go
@@ -1,5 +1,5 @@
 // Package outbound is the proxy for the requests of callers: it finds the route, chooses an
-// instance and sends the request to the node beside it. It repeats a send only when that is
+// instance and sends the request to its sidecar. It repeats a send only when that is
 // safe. Each request gets exactly one final answer, at the latest at its deadline.
 //
 // A send offers the request to one instance. A repeat is a further send by the proxy after an
@@ -45,14 +45,14 @@
 type Options struct {
 	Names     message.Names
 	Snapshots SnapshotSource
-	// Service is the service of the instance beside this node, where requests start.
+	// Service is the service of this node's instance, where requests start.
 	Service string
 	Zone    string
-	// Backend is the address of the instance beside this node, to which LocalInbound delivers;
+	// Backend is the address of this node's instance, to which LocalInbound delivers;
 	// empty: none.
 	Backend      string
 	LocalInbound LocalInbound
-	// NodePort is the port on which the nodes beside other instances accept requests.
+	// NodePort is the port on which the sidecars of other instances accept requests.
 	NodePort int
 	// LinkBytesPerSecond is the capacity of the machine's network link; zero: not known.
 	LinkBytesPerSecond float64
--- a/internal/dataplane/outbound/refuse.go
+++ b/internal/dataplane/outbound/refuse.go
@@ -73,9 +73,9 @@
 // next slot is free; while many are, as late as leaves time for the request, as earlier retries
 // would be refused again.
 func computeRetryAfter(nextSlot, left time.Duration, pressure float64) time.Duration {
-	soon := min(max(nextSlot, minRetryAfterTime), maxRetryAfterTime)
-	late := min(max(time.Duration(retryShare*float64(left)), soon), maxRetryAfterTime)
-	return soon + time.Duration(min(pressure/saturationPressure, 1)*float64(late-soon))
+	earliest := min(max(nextSlot, minRetryAfterTime), maxRetryAfterTime)
+	latest := min(max(time.Duration(retryShare*float64(left)), earliest), maxRetryAfterTime)
+	return earliest + time.Duration(min(pressure/saturationPressure, 1)*float64(latest-earliest))
 }
 
 // failUnknown returns the final answer to a request that may have run.
--- a/internal/dataplane/outbound/sidecar_pools.go
+++ b/internal/dataplane/outbound/sidecar_pools.go
@@ -41,7 +41,7 @@
 	NodeServerIdleTimeout = time.Minute
 )
 
-// sidecars sends requests to the nodes beside other instances.
+// sidecars sends requests to the sidecars of other instances.
 type sidecars interface {
 	send(ctx context.Context, request *message.Request, instance snapshot.Instance, order hop.Order) sendResult
 	// prune closes connections that were idle for too long.
@@ -49,7 +49,7 @@
 	close()
 }
 
-// sidecarPools keeps connections to the nodes beside other instances.
+// sidecarPools keeps connections to the sidecars of other instances.
 type sidecarPools struct {
 	port     int
 	pacer    *transfer.Pacer
@@ -71,7 +71,7 @@
 	return created
 }
 
-// nodeAddress returns the address on which the node beside an instance accepts requests.
+// nodeAddress returns the address on which an instance's sidecar accepts requests.
 func (n *sidecarPools) nodeAddress(instance snapshot.Instance) string {
 	parsed, err := netip.ParseAddrPort(instance.Address)
 	if err != nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// send sends a request to the node beside an instance. That node runs nothing before it has
+// send sends a request to an instance's sidecar. The sidecar runs nothing before it has
 // the whole request, so a request that was sent in part has not run.
 func (n *sidecarPools) send(ctx context.Context, request *message.Request, instance snapshot.Instance, order hop.Order) sendResult {
 	header := maps.Clone(request.Header)
--- a/internal/dataplane/queue/queue.go
+++ b/internal/dataplane/queue/queue.go
@@ -82,7 +82,8 @@
 	waiting      waiters
 	// serviceTime is the mean time for which a request holds a slot.
 	serviceTime time.Duration
-	started     map[*Slot]time.Time
+	// grantedAt holds the time at which each slot in use was granted.
+	grantedAt map[*Slot]time.Time
 }
 
 // initialServiceTime is assumed as the mean service time before any request has ended.
@@ -94,7 +95,7 @@
 // NewRateLimited returns a Queue with the given number of slots and a limit on the rate at
 // which requests start.
 func NewRateLimited(slots int, limiter RateLimiter) *Queue {
-	return &Queue{limiter: limiter, slots: max(slots, 1), serviceTime: initialServiceTime, started: make(map[*Slot]time.Time)}
+	return &Queue{limiter: limiter, slots: max(slots, 1), serviceTime: initialServiceTime, grantedAt: make(map[*Slot]time.Time)}
 }
 
 // SetSlots changes the number of slots.
@@ -126,7 +127,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	total := time.Duration(0)
-	for slot, since := range q.started {
+	for slot, since := range q.grantedAt {
 		total += max(slot.expected-now.Sub(since), 0)
 	}
 	for _, other := range q.waiting {
@@ -290,7 +291,7 @@
 func (q *Queue) grant(ticket Ticket, now time.Time) *Slot {
 	q.running++
 	slot := &Slot{queue: q, expected: q.expected(ticket)}
-	q.started[slot] = now
+	q.grantedAt[slot] = now
 	return slot
 }
 
@@ -302,10 +303,10 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if ran {
-		held := now.Sub(q.started[slot])
+		held := now.Sub(q.grantedAt[slot])
 		q.serviceTime += (held - q.serviceTime) / serviceTimeSmoothing
 	}
-	delete(q.started, slot)
+	delete(q.grantedAt, slot)
 	q.running--
 	q.grantWaiting(now)
 }
--- a/internal/dataplane/server/admit_test.go
+++ b/internal/dataplane/server/admit_test.go
@@ -20,8 +20,8 @@
 
 const paceHeader = "X-Pace"
 
-// newAdmittingServer starts a server that calls admit for bodies and answers with the length
-// of the body, and returns a pool of connections to it.
+// newAdmittingServer starts a server that asks admit whether to accept a request's body and
+// replies with the body's length. It returns a pool of connections to the server.
 func newAdmittingServer(t *testing.T, admit func(ctx context.Context, request *message.Request, bytes int64) server.Admission) *client.Pool {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/dataplane/server/connection.go
+++ b/internal/dataplane/server/connection.go
@@ -118,8 +118,8 @@
 	return true
 }
 
-// accept counts a request that was read. It returns false when the connection is closing
-// and the request therefore counts as not read.
+// accept adds a request that was read to the number in progress. It returns false if the
+// connection is closing; the request is then treated as unread.
 func (c *connection) accept() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/policy/restrict.go
+++ b/internal/policy/restrict.go
@@ -34,7 +34,8 @@
 type restricter struct {
 	fault error
 	depth int
-	nodes int
+	// syntaxNodes counts the syntax nodes that were visited.
+	syntaxNodes int
 }
 
 // scope is the kind of block that contains a statement.
@@ -56,7 +57,7 @@
 // enter counts one level of nesting and one node, and reports whether to visit it.
 func (r *restricter) enter(node syntax.Node) bool {
 	r.depth++
-	r.nodes++
+	r.syntaxNodes++
 	if r.depth > maxDepth {
 		r.refuse(syntax.Start(node), "use variables or functions for the inner parts", "this is nested more than %d levels deep", maxDepth)
 	}
@@ -130,15 +131,16 @@
 	case *syntax.ParenExpr:
 		r.target(target.X)
 	case *syntax.TupleExpr:
-		r.targets(target.List)
+		r.assignmentTargets(target.List)
 	case *syntax.ListExpr:
-		r.targets(target.List)
+		r.assignmentTargets(target.List)
 	default:
 		r.refuse(syntax.Start(target), "assign to a name", "cannot assign to this expression")
 	}
 }
 
-func (r *restricter) targets(targets []syntax.Expr) {
+// assignmentTargets checks the targets of an assignment.
+func (r *restricter) assignmentTargets(targets []syntax.Expr) {
 	for _, target := range targets {
 		r.target(target)
 	}
@@ -153,18 +155,18 @@
 		return
 	}
 	r.name(function.Name)
-	before := r.nodes
+	before := r.syntaxNodes
 	for _, parameter := range function.Params {
 		r.parameter(parameter)
 	}
 	r.statements(function.Body, scopeFunction)
-	if r.nodes-before > maxFunctionNodes {
+	if r.syntaxNodes-before > maxFunctionNodes {
 		r.refuse(function.Def, "split it", "function %s is longer than %d expressions", function.Name.Name, maxFunctionNodes)
 	}
 }
 
 func (r *restricter) parameter(parameter syntax.Expr) {
-	r.nodes++
+	r.syntaxNodes++
 	switch parameter := parameter.(type) {
 	case *syntax.Ident:
 		r.name(parameter)
