--- a/internal/bench/mesh/backend.go
+++ b/internal/bench/mesh/backend.go
@@ -5,7 +5,7 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// Backend is the emulated back end beside a node. Its journal is kept across Kill
+// Backend is the emulated backend of a sidecar. Its journal is kept across Kill
 // and Restart.
 type Backend struct {
 	*backend.Backend
--- a/internal/bench/mesh/mesh.go
+++ b/internal/bench/mesh/mesh.go
@@ -137,7 +137,7 @@
 	return slices.DeleteFunc(m.Nodes(), func(node *Node) bool { return !node.plan.Edge() })
 }
 
-// Sidecars returns the nodes beside back ends.
+// Sidecars returns the sidecars of the backends.
 func (m *Mesh) Sidecars() []*Node {
 	return slices.DeleteFunc(m.Nodes(), func(node *Node) bool { return node.plan.Edge() })
 }
@@ -145,15 +145,14 @@
 // Backends returns all back ends.
 func (m *Mesh) Backends() []*Backend { return slices.Clone(m.backends) }
 
-// Backend returns the back end beside the node with a name; it panics if there is
-// none.
+// Backend returns the backend of the sidecar with a name; it panics if there is none.
 func (m *Mesh) Backend(node string) *Backend {
 	for _, instance := range m.backends {
 		if instance.Node == node {
 			return instance
 		}
 	}
-	panic("there is no back end beside " + node)
+	panic("there is no backend of node " + node)
 }
 
 // Journal returns the merged journals of what all back ends have run so far.
--- a/internal/bench/mesh/node.go
+++ b/internal/bench/mesh/node.go
@@ -42,7 +42,7 @@
 // Zone returns the node's zone.
 func (n *Node) Zone() string { return n.plan.Node.Zone }
 
-// Service returns the service of the back end beside the node, or "" for an edge.
+// Service returns the service of the node's backend, or "" for an edge.
 func (n *Node) Service() string { return n.plan.Inbound.Service }
 
 // Outbound returns the address that callers send requests to (IP:port).
--- a/internal/cli/node_test.go
+++ b/internal/cli/node_test.go
@@ -36,7 +36,7 @@
 // logLine holds the fields that the test reads from a line of the node's log.
 type logLine struct{ Message, Outbound, Admin string }
 
-// nodeProcess is a node beside a back end that responds only once hold is closed.
+// nodeProcess is the sidecar of a backend that responds only once hold is closed.
 type nodeProcess struct {
 	command *exec.Cmd
 	log     *bufio.Scanner
--- a/internal/configuration/changes.go
+++ b/internal/configuration/changes.go
@@ -29,7 +29,7 @@
 	previous := a.store.Current()
 	next := previous.WithChanges(a.plan.Document(), &a.changes, &a.restore.retained)
 	if !a.store.AdoptFleet(next.WithPrevious(previous)) {
-		return // the next document contains these changes
+		return // another version came into force; its document will contain these changes
 	}
 	current := a.store.Current()
 	a.reportFleet(previous, current, learnedByChange)
--- a/internal/emulator/backend/sessions.go
+++ b/internal/emulator/backend/sessions.go
@@ -104,7 +104,7 @@
 	}
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		http.Error(w, "no upgrade on this connection", http.StatusInternalServerError)
+		http.Error(w, "this connection cannot be upgraded", http.StatusInternalServerError)
 		return
 	}
 	defer conn.Close()
--- a/internal/emulator/instance/instance.go
+++ b/internal/emulator/instance/instance.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Header names of the platform.
+// Header names of the platform. HeaderStamp carries the name of the instance that responded.
 const (
 	HeaderID          = "Winchhead-Request-Id"
 	HeaderDeadline    = "Winchhead-Deadline-Ms"
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -53,7 +53,7 @@
 	// DataAddress is where the node's inbound proxy accepts requests (IP:port);
 	// empty for a node without a back end.
 	DataAddress string `json:"data_address,omitempty"`
-	// Service is the service of the back end beside the node, or empty.
+	// Service is the service of the node's backend, or empty.
 	Service string `json:"service,omitempty"`
 	// Slots is how many requests the back end runs at once.
 	Slots int `json:"slots,omitempty"`
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -27,7 +27,8 @@
 	Record Record
 	// Listed is set while the platform's list names the node at its address.
 	Listed bool
-	// Leaving is set while the list or the owner says that the node is leaving.
+	// Leaving is set while the platform's list or the node's own record says that the node is
+	// leaving.
 	Leaving bool
 	// Suspected is set while an observation about the node is unrefuted.
 	Suspected bool
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -111,7 +111,7 @@
 type Options struct {
 	Store  Store
 	Logger logrus.FieldLogger
-	// MemberOf returns the member that runs beside an instance; false if there is none.
+	// MemberOf returns the member that is the sidecar of an instance; false if there is none.
 	MemberOf func(instance snapshot.Instance) (membership.ListedMember, bool)
 	// Validate reports why a configuration cannot be put in force; nil accepts all. A rejected
 	// configuration changes nothing, and instances are still followed.
@@ -241,7 +241,7 @@
 // store again.
 const staleAfter = 3 * time.Second
 
-// Members returns the nodes beside the listed instances. With a wait it relies on the reads of
+// Members returns the sidecars of the listed instances. With a wait it relies on the reads of
 // AwaitRevision and does not read the store itself.
 func (m *Mirror) Members(ctx context.Context, etag string, wait time.Duration) (source.MemberList, source.Outcome) {
 	if wait <= 0 && m.age() > staleAfter {
--- a/internal/mirror/state.go
+++ b/internal/mirror/state.go
@@ -13,7 +13,8 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// state is the relevant content of the store at a revision.
+// state is the content of the store that nodes use (configuration, instances and evacuations) at
+// one revision.
 type state struct {
 	// revision is the revision up to which changes are applied.
 	revision snapshot.Revision
@@ -178,9 +179,9 @@
 	return changed
 }
 
-// newerInstancesSince returns the changes from a previous state that are certain when this state was
-// read from a restored store: instance entries that are later than the previous ones. What a restored
-// store lacks may not have been written again yet, and an evacuation it holds may have been ended.
+// newerInstancesSince returns the instance entries that are newer than those of a previous state.
+// After the store was restored from a backup, only these count as changes: an entry that is missing
+// may not have been written again yet, and an evacuation may have been ended since the backup.
 func (s *state) newerInstancesSince(previous state) (changed []Item) {
 	for _, item := range s.changedSince(previous) {
 		held, listed := previous.instances[item.Key]
@@ -241,7 +242,7 @@
 	return listed
 }
 
-// members returns the nodes beside the instances, sorted and without duplicates.
+// members returns the sidecars of the instances, sorted and without duplicates.
 func (s *state) members(memberOf func(snapshot.Instance) (membership.ListedMember, bool)) []membership.ListedMember {
 	var members []membership.ListedMember
 	for _, instance := range s.instances {
--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -16,7 +16,8 @@
 
 var startTime = time.Unix(1_700_000_000, 0)
 
-// afterExpiry is longer than any slow start, ejection and load report.
+// afterExpiry exceeds the duration of slow start and of an ejection, and the validity of a load
+// report.
 const afterExpiry = 10 * time.Minute
 
 // fixture is a balancer in zone centro of region south with virtual time.
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -52,7 +52,7 @@
 }
 
 // Proxy forwards requests of other nodes to the backend. It is safe for concurrent
-// use. Call Run beside its server; stop it with Drain, then Close.
+// use. Call Run while its server runs; stop it with Drain, then Close.
 type Proxy struct {
 	snapshots SnapshotSource
 	settings  settings.Inbound
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -94,7 +94,7 @@
 	Balance string `yaml:"balance" validate:"oneof=two-choices random" help:"balancer: two-choices or random"`
 }
 
-// Inbound configures the proxy beside a back end; an empty Service disables it.
+// Inbound configures the proxy of a sidecar, in front of its backend; an empty Service disables it.
 type Inbound struct {
 	// Listen is the address to which other nodes send requests (IP:port).
 	Listen string `yaml:"listen" validate:"required_with=Service,omitempty,address" help:"IP:port for requests of other nodes"`
--- a/internal/snapshot/document.go
+++ b/internal/snapshot/document.go
@@ -13,10 +13,10 @@
 	// Name is unique within a document.
 	Name string `json:"name"`
 	// Slots is the maximum number of concurrent requests of one instance. Zero leaves it to the
-	// settings of the node beside the instance.
+	// settings of the instance's sidecar.
 	Slots int `json:"slots,omitempty"`
 	// Connections is the maximum number of open connections of one instance. Zero leaves it to
-	// the settings of the node beside the instance.
+	// the settings of the instance's sidecar.
 	Connections int `json:"connections,omitempty"`
 	// ColdRate is the maximum number of requests per second to an instance while it is cold
 	// after its start. Zero means no limit.
--- a/internal/snapshot/fleet_test.go
+++ b/internal/snapshot/fleet_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestLaterInstanceHasTheAddress: after a power failure the source may list a terminated instance
-// beside the one that took over its address, possibly for another service. Requests must not be sent
+// as well as the one that took over its address, possibly for another service. Requests must not be sent
 // to the terminated instance.
 func TestLaterInstanceHasTheAddress(t *testing.T) {
 	c := qt.New(t)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -34,7 +34,7 @@
 	// instance. Zero leaves only the limit of the instance.
 	MaxInFlight int `json:"max_in_flight,omitempty"`
 	// MaxQueued is the maximum number of requests of the route waiting for a slot of one
-	// instance. Zero leaves only the limit of the node beside the instance.
+	// instance. Zero leaves only the limit of the instance's sidecar.
 	MaxQueued int `json:"max_queued,omitempty"`
 }
 
--- a/internal/snapshot/typed.go
+++ b/internal/snapshot/typed.go
@@ -47,7 +47,7 @@
 	// Name and StartedMillis together are unique among all instances that ever existed.
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// Address is where the instance accepts requests from the node beside it (IP:port).
+	// Address is where the instance accepts requests from its sidecar (IP:port).
 	Address string    `json:"address"`
 	Zone    string    `json:"zone,omitempty"`
 	Slots   int       `json:"slots,omitempty"`
--- a/internal/suspects/crash.go
+++ b/internal/suspects/crash.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// CrashID identifies one crash of one instance. It is chosen at random by the node beside the
-// instance, the only one that sees the crash.
+// CrashID identifies one crash of one instance. It is chosen at random by the instance's
+// sidecar, the only node that sees the crash.
 type CrashID uint64
 
 // Crash records one crash of an instance with the requests that were in progress there, any
--- a/internal/suspects/crash_records.go
+++ b/internal/suspects/crash_records.go
@@ -22,8 +22,8 @@
 	// which an instance rarely ends by itself. Each further probe of a quarantined request
 	// costs an instance for seconds and aborts everything in progress there.
 	ProbeAgainAfter = 2 * time.Minute
-	// quarantineProbes is the number of crashed probes after which a request is quarantined
-	// for QuarantineFor.
+	// quarantineProbes is the number of probes that crashed the instance, after which a request
+	// is quarantined for QuarantineFor.
 	quarantineProbes = 2
 	// maxCrashes limits the number of records held: about 1 MB with MaxRequests each.
 	maxCrashes = 256
@@ -155,7 +155,7 @@
 
 // isExplained reports whether another request that was in progress at the crash has crashed
 // an instance during a probe. The crash is then no evidence against this one, so requests
-// that merely ran beside the cause need no probe of their own.
+// that merely ran at the same time as the cause need no probe of their own.
 func (r *CrashRecords) isExplained(crash *Crash, fingerprint Fingerprint) bool {
 	return slices.ContainsFunc(crash.Requests, func(other Request) bool {
 		return other.Fingerprint != fingerprint && !other.Cleared && r.wasProbed(other.Fingerprint)
--- a/internal/suspects/tracker.go
+++ b/internal/suspects/tracker.go
@@ -69,7 +69,7 @@
 }
 
 // onlyProbe returns the fingerprint that was being probed, or nil if there was none or another
-// suspected request ran beside it. The caller must hold mutex.
+// suspected request ran at the same time. The caller must hold mutex.
 func (t *Tracker) onlyProbe(running []InProgress, now time.Time) *Fingerprint {
 	var probed *Fingerprint
 	for i := range running {
--- a/test/integration/claims_test.go
+++ b/test/integration/claims_test.go
@@ -44,7 +44,7 @@
 	qt.Check(t, runsOf(running, booking.IdempotencyKey), qt.Equals, 1)
 }
 
-// nodeThatRan returns the node beside the back end that ran the booking with the key.
+// nodeThatRan returns the sidecar of the backend that ran the booking with the key.
 func nodeThatRan(t testing.TB, running *mesh.Mesh, key string) *mesh.Node {
 	for _, instance := range running.Backends() {
 		if instance.Journal().Key(key).Started > 0 {
--- a/test/integration/faults_test.go
+++ b/test/integration/faults_test.go
@@ -23,8 +23,8 @@
 	guaranteeInForce     = "An accepted configuration is in force on every proxy within seconds and never reverts."
 )
 
-// targetNode is the node whose hops, process or back end the rows disturb. The other node
-// beside a back end is left alone.
+// targetNode is the node whose hops, process or backend the rows disturb. The sidecar of
+// the other backend is left alone.
 const targetNode = "booking-1"
 
 // faultRow is a fault and the results that callers may see during it. In every row the
