--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -78,7 +78,7 @@
 	r.c.Assert(err, qt.IsNil)
 }
 
-// sidecarSettings returns the settings of a node beside the back end.
+// sidecarSettings returns the settings of the sidecar of the backend.
 func (r *harness) sidecarSettings() settings.Settings {
 	beside := r.settings("centro-reservas")
 	beside.Inbound.Listen, beside.Inbound.Service = "127.0.0.1:0", "reservas"
--- a/internal/app/backendwatcher.go
+++ b/internal/app/backendwatcher.go
@@ -13,7 +13,7 @@
 type backEndWatcher struct {
 	*configuration.Applier
 	self membership.NodeID
-	// available is closed once a back end beside another node accepts work.
+	// available is closed once another node's backend accepts work.
 	available chan struct{}
 	once      sync.Once
 }
@@ -33,7 +33,7 @@
 	}
 }
 
-// hasAvailableBackEnd reports whether a back end beside another node accepts work.
+// hasAvailableBackEnd reports whether another node's backend accepts work.
 func (w *backEndWatcher) hasAvailableBackEnd(view *membership.View) bool {
 	for member := range view.All() {
 		if member.Record.Node != w.self && member.MayTakeWork() {
--- a/internal/app/container.go
+++ b/internal/app/container.go
@@ -194,8 +194,8 @@
 	return current.Generation()
 }
 
-// backEndDecidesReadiness reports whether the node is ready only while the back end
-// beside it is.
+// backEndDecidesReadiness reports whether the node is ready only while its
+// backend is.
 func backEndDecidesReadiness(opened *listeners, configured settings.Settings) bool {
 	return opened.inbound != nil && configured.Platform.Kind == settings.PlatformDocuments
 }
@@ -208,7 +208,7 @@
 
 func newNodeReadiness(node *distribution.Node, opened *listeners, configured settings.Settings) *readiness {
 	// A store lists the instances themselves, so the state that the node publishes
-	// doesn't depend on the instance beside it.
+	// doesn't depend on its instance.
 	return newReadiness(node, backEndDecidesReadiness(opened, configured))
 }
 
--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -10,8 +10,7 @@
 type ownState struct {
 	// hasConfiguration is set once a configuration is in force.
 	hasConfiguration bool
-	// backend is the state of the back end beside the node, or StateReady for a node
-	// without one.
+	// backend is the state of the node's backend, or StateReady for a node without one.
 	backend membership.State
 	// stopping is set by a planned stop and never reset.
 	stopping bool
--- a/internal/app/store.go
+++ b/internal/app/store.go
@@ -102,8 +102,8 @@
 	return regions, nil
 }
 
-// sidecarOf returns a function that returns the sidecar of an instance. The sidecar has
-// the instance's IP address, which is also its name, and the same ports on all machines.
+// sidecarOf returns a function that returns the sidecar of an instance. The sidecar is named
+// by the instance's IP address and listens on the same ports on all machines.
 func sidecarOf(configured settings.Settings, regions map[string]string) func(snapshot.Instance) (membership.ListedMember, bool) {
 	peerPort := outbound.PortOf(configured.Peers.Listen)
 	return func(instance snapshot.Instance) (membership.ListedMember, bool) {
--- a/internal/app/store_crash_test.go
+++ b/internal/app/store_crash_test.go
@@ -17,7 +17,7 @@
 // crashingPrefix is the prefix of the ids of requests that crash the instances running them.
 const crashingPrefix = "crashing-"
 
-// newCrashHarness starts nodes beside two instances of front and four of data. Requests
+// newCrashHarness starts two instances of front and four of data, each with a sidecar. Requests
 // whose ids begin with crashingPrefix crash the instances that run them.
 func newCrashHarness(t *testing.T, work func(id string, gone <-chan struct{})) *storeHarness {
 	r := newStoreHarness(t, []string{"front", "front", "data", "data", "data", "data"}, func(_ int, emulated *instance.Instance) {
@@ -86,9 +86,9 @@
 
 // TestStoreRequestThatCrashesInstances sends a request that crashes each instance running
 // it again and again. Without a record that relates requests to crashes, each arrival
-// crashed one instance or two: in a fleet of ten nodes 16 instances crashed in half a
-// minute, and 2,811 of 12,817 other requests to the service were refused. Only a few
-// instances may crash before the request is refused as not run, and others are served.
+// would crash one instance or two, and many other requests to the service would be refused.
+// Only a few instances may crash before the request is refused as not run, and others are
+// served.
 func TestStoreRequestThatCrashesInstances(t *testing.T) {
 	const (
 		times = 40
--- a/internal/app/store_disconnect_test.go
+++ b/internal/app/store_disconnect_test.go
@@ -78,7 +78,7 @@
 		// works is how many of the caller's requests run.
 		activeCaller, activeInstance, works int
 		// mayWork is how many more may start to run: when one of them frees a slot, the next may
-		// get it before the sidecar hears that it was cancelled, on a connection of its own.
+		// get it before the sidecar learns that it was cancelled, on a connection of its own.
 		mayWork int
 	}{
 		"within the header":             {sends: "GET /read/x HTTP/1.1\r\nHost: h.ex"},
--- a/internal/app/store_entries_test.go
+++ b/internal/app/store_entries_test.go
@@ -9,9 +9,9 @@
 
 // TestStoreEntriesOfOtherWriters writes invalid entries among those of the instances, as
 // another writer may. Such an entry names no instance: it must count as missing and leave
-// all others in force. An unreadable entry at an instance's key used to leave the instance
-// in use, and one without a service, or with an unknown service or state, took over the
-// address of a running instance, which then got no requests.
+// all others in force. An unreadable entry at an instance's key must take the instance out of
+// use, and one without a service, or with an unknown service or state, must not take over the
+// address of a running instance, which would then get no requests.
 func TestStoreEntriesOfOtherWriters(t *testing.T) {
 	c := qt.New(t)
 	r := newStoreHarness(t, []string{"front", "data", "data"}, nil)
--- a/internal/app/store_expect_test.go
+++ b/internal/app/store_expect_test.go
@@ -31,8 +31,8 @@
 }
 
 // TestStoreRefusedBodyIsNotSent checks that a node accepts or refuses a request before the
-// body is sent, even if the body is short. Otherwise the bodies of refused requests filled
-// links of 5 Mbit/s, and each request that was accepted took 0.2 s longer.
+// body is sent, even if the body is short. Otherwise the bodies of refused requests fill slow
+// links (5 Mbit/s) and delay the accepted requests, by 0.2 s each.
 func TestStoreRefusedBodyIsNotSent(t *testing.T) {
 	r := newStoreHarness(t, []string{"data"}, nil)
 	r.startAll()
@@ -45,8 +45,8 @@
 	r.c.Check(r.sendHeader(0, 4000, order, "draining"), qt.Equals, http.StatusServiceUnavailable)
 }
 
-// TestStoreShortBodyArrivesWhole checks that a body that the node asked for arrives whole
-// and unchanged.
+// TestStoreShortBodyArrivesWhole checks that a body that is sent after 100 Continue is
+// received complete and unchanged.
 func TestStoreShortBodyArrivesWhole(t *testing.T) {
 	r := newStoreHarness(t, []string{"front", "data"}, nil)
 	r.startAll()
--- a/internal/app/store_freshness_test.go
+++ b/internal/app/store_freshness_test.go
@@ -24,10 +24,9 @@
 }
 
 // TestStoreLargeChangeOnASlowLink changes a configuration whose answer takes 1.5 s of
-// steady progress. A read with 0.7 s for the whole answer was cut off and started over with
-// even more to read, so a fleet of 74 processes got no change for 3.5 to 15 s and handled
-// 74 requests by replaced configurations. Twenty reads without the change count as
-// stuck.
+// steady progress. A read that is limited to 0.7 s for the whole answer is cut off and starts
+// over with even more to read, so the fleet gets no change for seconds and handles requests by
+// replaced configurations. Twenty reads without the change count as stuck.
 func TestStoreLargeChangeOnASlowLink(t *testing.T) {
 	const (
 		routes         = 1000
--- a/internal/app/store_harness_test.go
+++ b/internal/app/store_harness_test.go
@@ -22,8 +22,8 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// storeHarness holds an emulated store and nodes in this process, each beside an emulated
-// instance. The machines have loopback addresses of their own and use the same ports.
+// storeHarness holds an emulated store and emulated instances in this process, each with a
+// sidecar. The machines have loopback addresses of their own and use the same ports.
 type storeHarness struct {
 	c                                 *qt.C
 	store                             *store.Store
@@ -32,7 +32,7 @@
 	machines                          []*machine
 }
 
-// machine is one node and the instance beside it.
+// machine is one instance with its sidecar.
 type machine struct {
 	ip       string
 	service  string
--- a/internal/app/store_leaving_test.go
+++ b/internal/app/store_leaving_test.go
@@ -39,9 +39,9 @@
 
 // TestStoreLeavingWhileAConfigurationIsRead checks that the nodes learn that an instance
 // leaves, or that its zone is evacuated, before a large configuration has been read,
-// whichever was written first. When readers read nothing else during configurations of
-// 640 KB, which took over a second each, a request reached an instance 2.55 s after the
-// store had acknowledged its leaving.
+// whichever was written first. If readers read nothing else during a large configuration
+// (640 KB take over a second), requests still reach an instance seconds after the store
+// acknowledged its leaving.
 func TestStoreLeavingWhileAConfigurationIsRead(t *testing.T) {
 	const (
 		routes = 1000
@@ -71,15 +71,15 @@
 	}
 }
 
-// TestStoreLeavingAfterAnOutage checks that only the entries that lapsed during an outage
-// of the store are awaited when it returns. When other changes waited with them for two
-// seconds, an instance that had just announced its leaving got requests until the lapsed
-// entries counted as gone.
+// TestStoreLeavingAfterAnOutage checks that only the entries that expired during an
+// outage of the store are awaited when it returns. If other changes waited with them, for two
+// seconds, an instance that has just announced its leaving would get requests until the
+// expired entries count as gone.
 func TestStoreLeavingAfterAnOutage(t *testing.T) {
 	const (
-		lapsed, leaver = 1, 3
+		expired, leaver = 1, 3
 		// outage is longer than the 1.2 s for which a reader collects changes and the 1 s after
-		// which entries may have lapsed, so that each reader notices it.
+		// which entries may have expired, so that each reader notices it.
 		outage = 3 * time.Second
 	)
 	r := newStoreHarness(t, []string{"front", "data", "data", "data", "data"}, nil)
@@ -89,14 +89,14 @@
 	for _, m := range r.machines {
 		until(func() bool { return time.Duration(m.node.parts.Node.Status().SourceAge)*time.Millisecond >= outage })
 	}
-	for _, index := range []int{lapsed, lapsed + 1} {
+	for _, index := range []int{expired, expired + 1} {
 		r.store.Delete("servers/" + r.machines[index].instance.Name)
 	}
 	r.store.SetFault(nil)
 	until(func() bool { return r.anyReaderCurrent() })
 	r.put(leaver, "draining")
 	until(func() bool { return r.noneSendTo(leaver) })
-	r.c.Check(r.noneSendTo(lapsed), qt.IsFalse, qt.Commentf("the nodes learned of the leaving only when the lapsed entries counted as gone"))
+	r.c.Check(r.noneSendTo(expired), qt.IsFalse, qt.Commentf("the nodes learned of the leaving only when the expired entries counted as gone"))
 }
 
 // anyReaderCurrent reports whether a reader has had an answer from the store in the last
--- a/internal/app/store_restart_test.go
+++ b/internal/app/store_restart_test.go
@@ -21,9 +21,8 @@
 }
 
 // TestStoreInstanceRestartsUnderItsName has an instance answer that it is not the expected
-// one, and then restart under its name. The new process must get requests. Its node used to
-// remember the name for 10 s and refused the new process for 8.6 s, although the entry had a
-// new start time.
+// one, and then restart under its name. An entry with a new start time is a new process: its
+// node must not refuse the requests to it because the previous process had the same name.
 func TestStoreInstanceRestartsUnderItsName(t *testing.T) {
 	r := newStoreHarness(t, []string{"front", "data"}, func(_ int, emulated *instance.Instance) {
 		emulated.Plan = func(id string) instance.Fault {
--- a/internal/app/store_restore_test.go
+++ b/internal/app/store_restore_test.go
@@ -92,10 +92,9 @@
 
 // TestStoreChangesAfterARestore checks that acknowledged changes come into force after the
 // store was restored from a backup that was some seconds old and issued the same revisions
-// again. When a list with a lower revision than the one in force was taken for a late
-// answer, and watches continued from a revision that the store did not have, no change came
-// into force for five seconds, and an instance got requests 2.05 s after it announced that
-// it leaves.
+// again. If a list with a lower revision than the one in force is taken for a late answer, or
+// watches continue from a revision that the store does not have, no change comes into force for
+// seconds, and an instance that announced its leaving still gets requests.
 func TestStoreChangesAfterARestore(t *testing.T) {
 	// calls is twice the number of calls that all nodes make to read two changes.
 	const calls = 40
--- a/internal/app/store_silence_test.go
+++ b/internal/app/store_silence_test.go
@@ -13,7 +13,7 @@
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 )
 
-// startBehindProxies runs the nodes. Those beside instances of data get requests through
+// startBehindProxies runs the nodes. The sidecars of instances of data get requests through
 // the returned proxies. A proxy falls silent after the first report of progress.
 func (r *storeHarness) startBehindProxies() (proxies []*faultproxy.StallingProxy) {
 	for i, m := range r.machines {
@@ -41,7 +41,7 @@
 
 // TestStoreConnectionFallsSilentInARequest has the connection between two nodes fall silent
 // without a reset while an instance works on a request. Without reports of progress, the
-// request hung for all of its 5 s although another instance was free. The node reports
+// request would hang until its deadline although another instance is free. The node reports
 // progress every 0.4 s, and after a second without a report a request that may be repeated
 // is sent to another instance. One that may not be repeated is waited for and not resent.
 func TestStoreConnectionFallsSilentInARequest(t *testing.T) {
