--- a/internal/distribution/engine.go
+++ b/internal/distribution/engine.go
@@ -45,20 +45,20 @@
 	actions []Action
 	stopped bool
 
-	table   *membership.Table
-	view    *membership.View
-	ranking ranking
-	fleet   fleetState
-	list    listReplica
-	outbox  outbox
-	overlay overlay
-	push    pushState
-	repair  repairState
-	reading readingState
-	members membersState
-	start   startState
-	crashes *suspects.CrashRecords
-	changes changeCache
+	table        *membership.Table
+	view         *membership.View
+	ranking      ranking
+	fleet        fleetState
+	list         listReplica
+	outbox       outbox
+	overlay      overlay
+	push         pushState
+	repair       repairState
+	sourceReader readerState
+	members      membersState
+	start        startState
+	crashes      *suspects.CrashRecords
+	changes      changeCache
 }
 
 // NewEngine returns an engine that knows no node but its own.
@@ -169,7 +169,7 @@
 		earlier(l.deadline(e))
 	}
 	e.push.deadlines(e, earlier)
-	e.reading.deadlines(earlier)
+	e.sourceReader.deadlines(earlier)
 	earlier(e.members.nextRequestAt)
 	e.start.deadlines(e, earlier)
 	return wake
--- a/internal/distribution/link_timers.go
+++ b/internal/distribution/link_timers.go
@@ -20,7 +20,7 @@
 			e.closeLink(l, wire.GoodbyeDone)
 		case e.passed(l.deadAt()):
 			if e.isGroupLink(l) {
-				e.reading.groupLinkSilentAt = e.now
+				e.sourceReader.groupLinkSilentAt = e.now
 			}
 			e.dropLink(l)
 			e.linkLost(l)
@@ -46,7 +46,7 @@
 	l.sourceAgeSentAt = e.now
 	e.send(&wire.Heartbeat{
 		Interval:  l.ownInterval.Milliseconds(),
-		Reading:   e.reading.state(),
+		Reading:   e.sourceReader.state(),
 		SourceAge: e.sourceAge(),
 	}, l.id)
 }
--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -67,7 +67,7 @@
 	reading    wire.Reading
 	// readingSince is when the peer's reading state last changed.
 	readingSince time.Time
-	// confirmedAt is when, by the peer's account, a reader last heard from the source.
+	// confirmedAt is when, as the peer reports, a reader last got a response from the source.
 	confirmedAt time.Time
 	// nextRecordPullAt is when records may be pulled from the peer again,
 	// recordPullReceivedAt when the peer last pulled records.
@@ -89,7 +89,7 @@
 func (l *link) heartbeatAt(e *Engine) time.Time {
 	const early = 0.9 // leaves time for the network delay
 	since := l.lastSent
-	if e.reading.active && e.isCoordinationLink(l) {
+	if e.sourceReader.active && e.isCoordinationLink(l) {
 		since = l.sourceAgeSentAt
 	}
 	return since.Add(time.Duration(early * float64(l.ownInterval)))
--- a/internal/distribution/members.go
+++ b/internal/distribution/members.go
@@ -43,7 +43,7 @@
 
 // needsList reports whether this node must read the list.
 func (e *Engine) needsList() bool {
-	return e.reading.active || !e.members.hasRead || e.overlay.countEstablished() == 0
+	return e.sourceReader.active || !e.members.hasRead || e.overlay.countEstablished() == 0
 }
 
 // nextReadAt returns when to read the list next, with backoff after failed or isolated
@@ -54,7 +54,7 @@
 		return e.now
 	case m.failures > 0:
 		return e.now.Add(e.backoff(m.failures, e.timing.BackoffMin, e.timing.BackoffMax))
-	case e.reading.active:
+	case e.sourceReader.active:
 		return latest(e.now, m.lastReadAt.Add(minListInterval))
 	default:
 		return e.now.Add(e.backoff(m.isolatedReads, minListInterval, e.timing.BackoffMax))
@@ -65,7 +65,7 @@
 	m := &e.members
 	m.request = e.newRequest()
 	m.lastReadAt = e.now
-	m.longPolling = e.reading.active && m.etag != ""
+	m.longPolling = e.sourceReader.active && m.etag != ""
 	m.isolatedReads++
 	if e.overlay.countEstablished() > 0 {
 		m.isolatedReads = 0
@@ -79,7 +79,7 @@
 
 // readingChanged cancels a long poll of the list when the node stops being a reader.
 func (m *membersState) readingChanged(e *Engine) {
-	if !e.reading.active && m.longPolling && m.request != 0 {
+	if !e.sourceReader.active && m.longPolling && m.request != 0 {
 		e.act(CancelRequest{Request: m.request})
 		m.request = 0
 		m.longPolling = false
--- a/internal/distribution/polling.go
+++ b/internal/distribution/polling.go
@@ -10,7 +10,7 @@
 
 // pollSource asks the source for a revision newer than the one held or last seen.
 func (e *Engine) pollSource() {
-	r := &e.reading
+	r := &e.sourceReader
 	r.poll = e.newRequest()
 	r.polledAt = e.now
 	r.pollAt = time.Time{}
@@ -23,14 +23,14 @@
 // that was not answered it is zero, so that a further lost poll costs only the time of an
 // answer, and the next poll shows that the source has recovered.
 func (e *Engine) pollWait() time.Duration {
-	if !e.reading.lastPollAnswered {
+	if !e.sourceReader.lastPollAnswered {
 		return 0
 	}
 	return e.timing.SourceWait
 }
 
 func (e *Engine) fetchSource() {
-	r := &e.reading
+	r := &e.sourceReader
 	r.fetchAt = time.Time{}
 	if !r.head.Newer(e.push.newestVersion()) || e.push.refusals.has(wire.Short(r.head)) {
 		return // a peer delivered it first
@@ -40,7 +40,7 @@
 }
 
 func (event SourceRevision) apply(e *Engine) {
-	r := &e.reading
+	r := &e.sourceReader
 	if event.Request != r.poll || r.poll == 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 
 // updateHead processes the newest version that the source reports.
 func (e *Engine) updateHead(version snapshot.Version, isNewer bool) {
-	r := &e.reading
+	r := &e.sourceReader
 	held := e.push.heldVersion()
 	e.reportConflict(version, "the source")
 	isStale := version.Revision < held.Revision.Unmarked()
@@ -104,7 +104,7 @@
 }
 
 func (event SourceDocument) apply(e *Engine) {
-	r := &e.reading
+	r := &e.sourceReader
 	if event.Request != r.fetch || r.fetch == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 // reader whose reads fail resigns: the next node in its group reads as well, while it keeps
 // trying itself.
 func (e *Engine) recordOutcome(outcome source.Outcome) bool {
-	r := &e.reading
+	r := &e.sourceReader
 	ok := outcome.Status == source.StatusFresh || outcome.Status == source.StatusNotModified
 	was := r.resigned
 	switch {
@@ -156,7 +156,7 @@
 }
 
 func (e *Engine) logResigned(outcome source.Outcome) {
-	if e.reading.resigned {
+	if e.sourceReader.resigned {
 		e.log(LogWarning, "cannot read the source: %v", outcome.Err)
 		return
 	}
@@ -165,7 +165,7 @@
 
 // sourceRetryDelay returns how long to wait after a failed read of the source.
 func (e *Engine) sourceRetryDelay(outcome source.Outcome) time.Duration {
-	return e.retryDelay(outcome, e.reading.failures)
+	return e.retryDelay(outcome, e.sourceReader.failures)
 }
 
 // retryDelay returns how long to wait after a number of failed reads in a row.
--- a/internal/distribution/pulls.go
+++ b/internal/distribution/pulls.go
@@ -39,7 +39,7 @@
 	e.startPulls()
 }
 
-// cancelPullsOn abandons the pulls on a link that is going away.
+// cancelPullsOn abandons the pulls on a link that is being closed.
 func (e *Engine) cancelPullsOn(l *link) {
 	cancelled := false
 	for version, pull := range e.push.pulls {
--- a/internal/distribution/reading.go
+++ b/internal/distribution/reading.go
@@ -15,8 +15,8 @@
 // unknownSourceAge is the SourceAge of a node that knows of no answer from the source.
 const unknownSourceAge = -1
 
-// readingState is the state of this node as a reader of the source.
-type readingState struct {
+// readerState is the state of this node as a reader of the source.
+type readerState struct {
 	// active is set while this node is a reader, resigned while it is one whose reads fail.
 	active   bool
 	resigned bool
@@ -49,7 +49,7 @@
 	lastRequest RequestID
 }
 
-func (r *readingState) state() wire.Reading {
+func (r *readerState) state() wire.Reading {
 	switch {
 	case r.active && r.resigned:
 		return wire.ReadingResigned
@@ -60,7 +60,7 @@
 	}
 }
 
-func (r *readingState) deadlines(earlier func(time.Time)) {
+func (r *readerState) deadlines(earlier func(time.Time)) {
 	if !r.active {
 		earlier(r.startReadingAt)
 	}
@@ -73,8 +73,8 @@
 }
 
 func (e *Engine) newRequest() RequestID {
-	e.reading.lastRequest++
-	return e.reading.lastRequest
+	e.sourceReader.lastRequest++
+	return e.sourceReader.lastRequest
 }
 
 // readerRole tells whether a node reads the source, and how soon it starts.
@@ -96,7 +96,7 @@
 	if !current.inGroup(e.options.Self.Node) || !e.start.mayRead(e) {
 		return roleStandby
 	}
-	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.reading.groupLinkSilentAt) < e.timing.TakeOverDelay
+	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.sourceReader.groupLinkSilentAt) < e.timing.TakeOverDelay
 	for _, node := range current.group {
 		if node == e.options.Self.Node {
 			break
@@ -165,7 +165,7 @@
 // takeOverPolling ends the delay of the next poll if this node became the leader, because the
 // former leader is gone or can no longer read.
 func (e *Engine) takeOverPolling() {
-	r := &e.reading
+	r := &e.sourceReader
 	if r.defersToLeader && r.poll == 0 && e.leads() {
 		r.defersToLeader = false
 		r.pollAt = earliest(r.pollAt, latest(e.now, r.polledAt.Add(e.changePollInterval())))
@@ -175,14 +175,14 @@
 // runReadingTimers starts or stops reading and runs the reads that are due.
 func (e *Engine) runReadingTimers() {
 	e.updateRole()
-	if !e.reading.active {
+	if !e.sourceReader.active {
 		return
 	}
 	e.takeOverPolling()
-	if e.passed(e.reading.pollAt) && e.reading.poll == 0 {
+	if e.passed(e.sourceReader.pollAt) && e.sourceReader.poll == 0 {
 		e.pollSource()
 	}
-	if e.passed(e.reading.fetchAt) && e.reading.fetch == 0 {
+	if e.passed(e.sourceReader.fetchAt) && e.sourceReader.fetch == 0 {
 		e.fetchSource()
 	}
 }
@@ -192,7 +192,7 @@
 // reader for each. A node whose StartSettle has just passed does not wait again, because no
 // other node reads yet in a fleet that starts.
 func (e *Engine) updateRole() {
-	r := &e.reading
+	r := &e.sourceReader
 	desired := e.desiredRole()
 	switch {
 	case desired == roleStandby:
@@ -211,7 +211,7 @@
 }
 
 func (e *Engine) setReading(active bool) {
-	r := &e.reading
+	r := &e.sourceReader
 	r.active = active
 	r.resigned = false
 	r.failures = 0
@@ -246,7 +246,7 @@
 
 // cancelReading cancels the running reads of the source and forgets what it reported.
 func (e *Engine) cancelReading() {
-	r := &e.reading
+	r := &e.sourceReader
 	for _, request := range []RequestID{r.poll, r.fetch} {
 		if request != 0 {
 			e.act(CancelRequest{Request: request})
@@ -268,10 +268,10 @@
 
 // sourceAge returns how many milliseconds ago a reader last got an answer from the source.
 func (e *Engine) sourceAge() int64 {
-	if e.reading.confirmedAt.IsZero() {
+	if e.sourceReader.confirmedAt.IsZero() {
 		return unknownSourceAge
 	}
-	return e.now.Sub(e.reading.confirmedAt).Milliseconds()
+	return e.now.Sub(e.sourceReader.confirmedAt).Milliseconds()
 }
 
 // sourceConfirmed records a peer's report of when a reader last got an answer from the source.
@@ -280,7 +280,7 @@
 		return
 	}
 	l.confirmedAt = e.now.Add(-time.Duration(age) * time.Millisecond)
-	e.reading.confirmedAt = latest(e.reading.confirmedAt, l.confirmedAt)
+	e.sourceReader.confirmedAt = latest(e.sourceReader.confirmedAt, l.confirmedAt)
 }
 
 func (e *Engine) onHeartbeat(l *link, m *wire.Heartbeat) {
--- a/internal/distribution/records.go
+++ b/internal/distribution/records.go
@@ -62,7 +62,7 @@
 	p.items[key] = pendingItem[T]{item: item, knownBy: []LinkID{from}}
 }
 
-// markKnown notes that a link's peer has the same item for a key.
+// markKnown marks the item for a key as known to a link's peer, if the peer has the same item.
 func (p *pending[K, T]) markKnown(key K, same func(T) bool, from LinkID) {
 	held, present := p.items[key]
 	if present && same(held.item) && !slices.Contains(held.knownBy, from) {
--- a/internal/distribution/selection.go
+++ b/internal/distribution/selection.go
@@ -106,7 +106,7 @@
 // dialCandidates dials the lead candidates that take precedence over this node. Only readers
 // do so: in a fleet that starts, most nodes consider themselves candidates until they read.
 func (e *Engine) dialCandidates() {
-	if !e.reading.active {
+	if !e.sourceReader.active {
 		return
 	}
 	before, _ := e.currentRanking().candidatesBefore(e.options.Self.Node)
--- a/internal/distribution/simulation/network.go
+++ b/internal/distribution/simulation/network.go
@@ -156,7 +156,8 @@
 	}
 }
 
-// stalled reports whether deliveries to an end are held back now.
+// stalled reports whether messages to one end of the connection are currently delayed, because
+// its process is slow or the network is cut.
 func (c *connection) stalled(to int) bool {
 	return c.ends[to].process.slow || c.fleet.cut(c.ends[0].process.machine, c.ends[1].process.machine)
 }
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -90,7 +90,7 @@
 func (e *Engine) onWakeUp() {
 	e.log(LogInfo, "slept for %s; checking its links before it reads the source again", e.now.Sub(e.wakeAt).Round(time.Millisecond))
 	e.start.recheckUntil = e.now.Add(e.timing.RecheckWait)
-	e.reading.confirmedAt = time.Time{}
+	e.sourceReader.confirmedAt = time.Time{}
 	for version, pull := range e.push.pulls {
 		pull.sentAt = e.now
 		e.push.pulls[version] = pull
@@ -165,7 +165,7 @@
 // found none that holds one. It probes peers as needed.
 func (s *startState) peersHoldNothing(e *Engine) bool {
 	if e.push.newest() != nil {
-		return e.reading.active // a verified document is about to be adopted
+		return e.sourceReader.active // a verified document is about to be adopted
 	}
 	if len(e.linksWithNewerVersion()) > 0 || len(e.push.pulls) > 0 {
 		return false
--- a/internal/distribution/stats.go
+++ b/internal/distribution/stats.go
@@ -60,8 +60,10 @@
 	sent, received           [messageTypeCount]counter
 	sourceReads, sourceBytes atomic.Int64
 	listReads, listBytes     atomic.Int64
-	links, adopted, refused  atomic.Int64
-	slowPeers                atomic.Int64
+	// establishedLinks is the current number of established links; adopted and refused count
+	// versions.
+	establishedLinks, adopted, refused atomic.Int64
+	slowPeers                          atomic.Int64
 }
 
 func (c *counters) countSource(outcome source.Outcome) {
@@ -94,7 +96,7 @@
 		SourceBytes: c.sourceBytes.Load(),
 		ListReads:   c.listReads.Load(),
 		ListBytes:   c.listBytes.Load(),
-		Links:       c.links.Load(),
+		Links:       c.establishedLinks.Load(),
 		Adopted:     c.adopted.Load(),
 		Refused:     c.refused.Load(),
 		SlowPeers:   c.slowPeers.Load(),
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -31,7 +31,7 @@
 		Refused:     e.push.refusals.reported.Version,
 		Reason:      e.push.refusals.reported.Reason,
 		Conflict:    e.push.conflict,
-		Reader:      e.reading.state() == wire.ReadingActive,
+		Reader:      e.sourceReader.state() == wire.ReadingActive,
 		SourceAge:   e.sourceAge(),
 	}
 }
@@ -44,8 +44,8 @@
 }
 
 func (n *Node) publishStatus() {
-	n.counters.links.Store(int64(n.engine.overlay.countEstablished()))
-	status := engineStatus{reply: n.engine.Status(), confirmedAt: n.engine.reading.confirmedAt}
+	n.counters.establishedLinks.Store(int64(n.engine.overlay.countEstablished()))
+	status := engineStatus{reply: n.engine.Status(), confirmedAt: n.engine.sourceReader.confirmedAt}
 	status.reply.SourceAge = unknownSourceAge
 	if current := n.status.Load(); current != nil && *current == status {
 		return
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -156,7 +156,7 @@
 	t.SourceWait = 600 * time.Millisecond
 	t.SourceGrace = 400 * time.Millisecond
 	// A reader gets an answer after each wait, and its group learns of it with the next
-	// heartbeat, after 1.5 s at most. Above this limit, the next node reads as well beside a
+	// heartbeat, after 1.5 s at most. Above this limit, the next node reads in addition to a
 	// reader whose answers arrive slowly.
 	t.FreshnessLimit = 2500 * time.Millisecond
 	t.FetchDelay, t.FetchStagger, t.FetchDelayMax = 0, 0, 0
