--- a/internal/bench/storesoak/check.go
+++ b/internal/bench/storesoak/check.go
@@ -22,9 +22,9 @@
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 
-	// RanTwice are unsafe calls that ran more than once; RanRefused ran though they were refused
-	// as not executed.
-	RanTwice   int `json:"doubled"`
+	// RanTwice are unsafe calls that ran more than once.
+	RanTwice int `json:"doubled"`
+	// RanRefused are unsafe calls that ran although they were refused as not executed.
 	RanRefused int `json:"ran_though_refused"`
 	// Wrong got a response that is not that of one of their own runs.
 	Wrong int `json:"wrong"`
@@ -42,19 +42,23 @@
 	Lost int `json:"lost"`
 	// ColdOverloads are instances that were overloaded while they were cold.
 	ColdOverloads int `json:"fell_over"`
-	// Crashes counts the crashes by requests that crash instances, AfterThirdCrash the arrivals
-	// of such a request settleTime after its third crash (the larger count of the two kinds),
-	// WronglyRefused the other calls that were refused as if they crashed instances.
-	Crashes         int `json:"crashes"`
+	// Crashes counts the crashes by requests that crash instances.
+	Crashes int `json:"crashes"`
+	// AfterThirdCrash is how often such a request still reached instances when it had crashed
+	// three and the nodes had had time to learn of that. Reads and writes are counted
+	// separately; this is the larger count.
 	AfterThirdCrash int `json:"after_third_crash"`
-	WronglyRefused  int `json:"shut_out"`
-	// LateAnswers and LateChanges exceeded a time bound that no fault suspended.
+	// WronglyRefused are other calls that were refused as if they crashed instances.
+	WronglyRefused int `json:"shut_out"`
+	// LateAnswers got their response later than a time bound that no fault suspended.
 	LateAnswers int `json:"late_answers"`
+	// LateChanges were handled without a change although its time bound, which no fault
+	// suspended, had passed.
 	LateChanges int `json:"late_changes"`
 
-	// Withdrawals counts how often instances were to get no new requests, LateArrivals the
-	// requests that reached them later than allowed after that.
-	Withdrawals  int `json:"endings"`
+	// Withdrawals counts how often instances were to get no new requests.
+	Withdrawals int `json:"endings"`
+	// LateArrivals are the requests that reached instances later than allowed after a withdrawal.
 	LateArrivals int `json:"late_arrivals"`
 	// LastArrival is the time from a withdrawal to the last request, where no other fault
 	// suspended the time bound.
@@ -64,11 +68,13 @@
 	// machines that were not impaired meanwhile.
 	InForce Quantiles `json:"seconds_until_in_force"`
 
-	// Versions are the changes in order; ServedShare is the share of calls served in each second.
-	Versions    []VersionTimes `json:"versions"`
-	ServedShare []float64      `json:"served_share"`
+	// Versions are the configuration changes in order.
+	Versions []VersionTimes `json:"versions"`
+	// ServedShare is the share of calls served in each second.
+	ServedShare []float64 `json:"served_share"`
 
-	// RetryBoundShare is the largest used share of the retry bound in any window; above 1 it was exceeded.
+	// RetryBoundShare is the largest used share of the retry bound in any window; above 1 the
+	// bound was exceeded.
 	RetryBoundShare float64 `json:"repeats"`
 
 	// Violations describes each violated guarantee; the soak passed only if it is empty.
--- a/internal/dataplane/inbound/probe.go
+++ b/internal/dataplane/inbound/probe.go
@@ -56,7 +56,7 @@
 // sending again.
 const probeRetryAfter = 200 * time.Millisecond
 
-// standing returns the standing of a request according to this node's tracker.
+// standing returns the status of a request according to this node's tracker.
 func (p *Proxy) standing(request *message.Request) suspects.Standing {
 	if p.options.Suspects.IsEmpty() {
 		return suspects.Clear
--- a/internal/dataplane/outbound/suspicion.go
+++ b/internal/dataplane/outbound/suspicion.go
@@ -28,7 +28,7 @@
 	crashObserved bool
 }
 
-// assess returns the current standing of the request.
+// assess returns the current status of the request.
 func (e *exchange) assess() suspects.Standing {
 	s := &e.suspicion
 	s.standing = suspects.Clear
--- a/internal/suspects/crash_records.go
+++ b/internal/suspects/crash_records.go
@@ -29,10 +29,10 @@
 	maxCrashes = 256
 )
 
-// Standing says how requests with one fingerprint are treated.
+// Standing is the status of requests with one fingerprint: how they are treated.
 type Standing uint8
 
-// The standings.
+// The statuses.
 const (
 	// Clear requests are not suspected and are sent normally.
 	Clear Standing = 0
@@ -42,12 +42,12 @@
 	Quarantined Standing = 2
 )
 
-// String returns the standing in lower case, as logs show it.
+// String returns the status in lower case, as logs show it.
 func (s Standing) String() string {
 	return map[Standing]string{Clear: "clear", Suspected: "suspected", Quarantined: "quarantined"}[s]
 }
 
-// Assessment is the standing of one fingerprint with the evidence for it.
+// Assessment is the status of one fingerprint with the evidence for it.
 type Assessment struct {
 	Standing Standing
 	// Crashes counts the crashes that count against the fingerprint. Probes counts those
@@ -123,7 +123,7 @@
 	return changed
 }
 
-// Assess returns the standing of a fingerprint.
+// Assess returns the assessment of a fingerprint.
 func (r *CrashRecords) Assess(fingerprint Fingerprint, now time.Time) Assessment {
 	var found Assessment
 	var last time.Time
--- a/internal/suspects/crash_records_test.go
+++ b/internal/suspects/crash_records_test.go
@@ -28,7 +28,7 @@
 	return crash
 }
 
-// TestAssess checks the standing that follows from crashes, probes, answers and time.
+// TestAssess checks the status that follows from crashes, probes, answers and time.
 func TestAssess(t *testing.T) {
 	const second = time.Second
 	type want = map[string]Standing
--- a/internal/suspects/tracker.go
+++ b/internal/suspects/tracker.go
@@ -40,7 +40,7 @@
 // IsEmpty reports whether no request is suspected or quarantined.
 func (t *Tracker) IsEmpty() bool { return !t.hasSuspects.Load() }
 
-// Assess returns the standing of requests with the given fingerprint.
+// Assess returns the assessment of requests with the given fingerprint.
 func (t *Tracker) Assess(fingerprint Fingerprint) Assessment {
 	if t.IsEmpty() {
 		return Assessment{}
@@ -120,7 +120,7 @@
 	return t.records.assessed(t.now())
 }
 
-// Count returns how many fingerprints have the given standing.
+// Count returns how many fingerprints have the given status.
 func (t *Tracker) Count(standing Standing) (count int) {
 	for _, each := range t.Assessed() {
 		if each.Standing == standing {
