--- a/internal/bench/storesoak/regressions.go
+++ b/internal/bench/storesoak/regressions.go
@@ -38,7 +38,7 @@
 	},
 	{
 		Seed: 42, Machines: 74, Zones: 3, Routes: 3000, SlowestLink: 10, CPULoadProcesses: 8, Faults: 14, Rate: 300, Kinds: 20,
-		Cause: "readers that got a Retry-After of 5 s all waited that long (TestSourceReturnsBeforeItSaid)",
+		Cause: "readers that got a Retry-After of 5 s all waited that long (TestSourceRecoversBeforeRetryAfter)",
 	},
 	{
 		Seed: 5002, Machines: 80, Zones: 4, Routes: 3000, SlowestLink: 5, Faults: 10, Rate: 200, ReplacementRate: 3, Kinds: 22,
