--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -34,8 +34,8 @@
 	UsableShare = 0.8
 	// failedCallFactor is the number of calls made by a run whose request failed at an
 	// instance before, as a multiple of the mean of all runs. It is an upper bound: requests that
-	// make more calls than the mean fail more often, because their calls may fail. Measured:
-	// 1.9 calls where the mean is 1.4.
+	// make more calls than the mean fail more often, because their calls may fail. Such
+	// a run makes 1.9 calls where the mean is 1.4.
 	failedCallFactor = 2
 	// maxInherited caps the probability that a call counts as made by a repeated run. It is
 	// below 1 because only sends that are repeats for sure may be refused.
--- a/internal/dataplane/outbound/exchange.go
+++ b/internal/dataplane/outbound/exchange.go
@@ -19,9 +19,8 @@
 	maxTries = 8
 	// maxFullRefusals limits how many of them may refuse for lack of capacity. Where that many
 	// instances are full, most are: further tries cost bytes and time and rarely find a slot.
-	// Measured once, with 86 machines in a burst of twice the load: with 8 instead of 4, 0.006 more
-	// of the day was answered in time and 0.021 more was spent on bytes between zones; 3 made no
-	// clear difference.
+	// With 8, the additional traffic between zones costs more than three times what the
+	// additional answers in time are worth; 3 makes no clear difference.
 	maxFullRefusals = 4
 	// maxBudgetRefusals limits the nodes that may refuse a repeat because the calls of its run
 	// would exceed the repeat budget: where two have no budget for them, most have none.
--- a/internal/distribution/polling.go
+++ b/internal/distribution/polling.go
@@ -141,7 +141,7 @@
 	case outcome.Status == source.StatusBusy:
 		// The source works, and another reader would add to its load unless it rejects only
 		// this node. A reader with a long Retry-After resigns at once: otherwise a
-		// Retry-After of 5 s delays changes by up to 4.8 s, measured with 74 nodes.
+		// Retry-After of 5 s delays changes by up to 4.8 s.
 		r.failures++
 		r.resigned = r.resigned || r.failures >= maxBusyAnswers || outcome.RetryAfter > e.timing.BackoffMin
 	default:
