--- a/cmd/winchhead-bench/main.go
+++ b/cmd/winchhead-bench/main.go
@@ -1,5 +1,5 @@
 // Command winchhead-bench tests and measures winchhead. It contains emulators of the
-// platform and of back ends, a load generator, runs of whole example deployments with
+// platform and of backends, a load generator, runs of whole example deployments with
 // injected faults, and experiments with the number of nodes of large fleets.
 package main
 
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,5 +1,5 @@
 // Package app builds a node from its settings with a dig container and manages its
-// life cycle: opening ports, building the parts, readiness and the planned stop. It
+// life cycle: opening ports, building the parts, readiness and the graceful shutdown. It
 // keeps no global state, so that one process may run many nodes.
 package app
 
@@ -63,7 +63,7 @@
 	parts     parts
 	ready     *readiness
 	logger    logrus.FieldLogger
-	// inboundServer is nil for a node without a back end.
+	// inboundServer is nil for a node without a backend.
 	inboundServer *http.Server
 	name          string
 	grace         time.Duration
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -29,13 +29,13 @@
 	secretValue = "value-of-the-key"
 )
 
-// harness holds an emulated platform, a back end and nodes, all in this process.
+// harness holds an emulated platform, a backend and nodes, all in this process.
 type harness struct {
 	c        *qt.C
 	platform *platform.Platform
 	url      string
 	backend  *httptest.Server
-	// arrived receives the secret header of each request. The back end answers once hold
+	// arrived receives the secret header of each request. The backend answers once hold
 	// is closed.
 	arrived chan string
 	hold    chan struct{}
--- a/internal/app/backendwatcher.go
+++ b/internal/app/backendwatcher.go
@@ -8,7 +8,7 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// backEndWatcher is an Applier that also watches the fleet for the first back end that
+// backEndWatcher is an Applier that also watches the fleet for the first backend that
 // accepts work. Without any, a node refuses all requests because no instance is available.
 type backEndWatcher struct {
 	*configuration.Applier
--- a/internal/app/backendwatcher_test.go
+++ b/internal/app/backendwatcher_test.go
@@ -17,9 +17,9 @@
 	return member
 }
 
-// TestBackEndWatcherFindsFirstBackEnd checks that only another node whose back end
-// accepts work counts as an available back end: not the node itself, other edges, or a
-// back end that starts or drains.
+// TestBackEndWatcherFindsFirstBackEnd checks that only another node whose backend
+// accepts work counts as an available backend: not the node itself, other edges, or a
+// backend that starts or drains.
 func TestBackEndWatcherFindsFirstBackEnd(t *testing.T) {
 	member := func(node, service string) membership.Member {
 		return membership.Member{Record: membership.Record{
--- a/internal/app/claims.go
+++ b/internal/app/claims.go
@@ -29,7 +29,7 @@
 	Registerer prometheus.Registerer
 }
 
-// newClaims returns nil for a node without a back end, if claims are turned off, and
+// newClaims returns nil for a node without a backend, if claims are turned off, and
 // if the platform is a store.
 func newClaims(inputs claimInputs) (*claim.Memory, error) {
 	configured := inputs.Settings.Inbound
--- a/internal/app/listeners.go
+++ b/internal/app/listeners.go
@@ -45,7 +45,7 @@
 	return opened, nil
 }
 
-// inboundAddress returns the address to listen on, or "" for a node without a back end.
+// inboundAddress returns the address to listen on, or "" for a node without a backend.
 func inboundAddress(configured settings.Settings) string {
 	if configured.Inbound.Service == "" {
 		return ""
--- a/internal/app/run.go
+++ b/internal/app/run.go
@@ -15,11 +15,11 @@
 	"github.com/winchhead/winchhead/internal/wait"
 )
 
-// errPlannedStop makes the group of tasks end after a planned stop.
+// errPlannedStop makes the group of tasks end after a graceful shutdown.
 var errPlannedStop = errors.New("planned stop")
 
-// Run runs the node until ctx ends or a part fails. When ctx ends, the node makes a
-// planned stop: it announces that it leaves, finishes the requests in progress and
+// Run runs the node until ctx ends or a part fails. When ctx ends, the node shuts
+// down gracefully: it announces that it leaves, finishes the requests in progress and
 // leaves the fleet, and Run returns nil. When a part fails, Run ends the others at once
 // and returns a *PartError.
 func (a *App) Run(ctx context.Context) error {
@@ -93,7 +93,7 @@
 }
 
 // awaitReadiness waits for the first configuration, and at an edge also for the first
-// back end that accepts work, and then marks the node as configured.
+// backend that accepts work, and then marks the node as configured.
 func (a *App) awaitReadiness(ctx context.Context) error {
 	changes, cancel := a.parts.Applier.Subscribe()
 	defer cancel()
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// drain starts the planned stop and returns once no request is in progress or the grace
+// drain starts the graceful shutdown and returns once no request is in progress or the grace
 // period has ended.
 func (a *App) drain(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, a.grace)
--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -12,7 +12,7 @@
 	hasConfiguration bool
 	// backend is the state of the node's backend, or StateReady for a node without one.
 	backend membership.State
-	// stopping is set by a planned stop and never reset.
+	// stopping is set by a graceful shutdown and never reset.
 	stopping bool
 }
 
@@ -55,7 +55,7 @@
 	return &readiness{fleet: fleet, done: make(chan struct{}), leaving: make(chan struct{}), state: state}
 }
 
-// SetState sets the state of the back end, as reported by the inbound proxy.
+// SetState sets the state of the backend, as reported by the inbound proxy.
 func (r *readiness) SetState(backend membership.State) {
 	r.update(func(state *ownState) { state.backend = backend })
 }
--- a/internal/app/store.go
+++ b/internal/app/store.go
@@ -126,12 +126,12 @@
 	}
 }
 
-// stopMargin is the part of the grace period that a planned stop keeps for its own
+// stopMargin is the part of the grace period that a graceful shutdown keeps for its own
 // cleanup.
 const stopMargin = 250 * time.Millisecond
 
-// drainTime returns how long a planned stop may wait for requests in progress. With a
-// store, the process is killed when the grace period ends, so the stop ends earlier.
+// drainTime returns how long a graceful shutdown may wait for requests in progress. With a
+// store, the process is killed when the grace period ends, so the shutdown ends earlier.
 func drainTime(configured settings.Settings) time.Duration {
 	grace := configured.Inbound.DrainGrace
 	if configured.Platform.Kind == settings.PlatformStore {
--- a/internal/bench/command/backend.go
+++ b/internal/bench/command/backend.go
@@ -19,7 +19,7 @@
 // a request header.
 const controlHeaderTimeout = 10 * time.Second
 
-// backendCommand runs one emulated back end.
+// backendCommand runs one emulated backend.
 type backendCommand struct {
 	environment
 	Listen      string        `long:"listen" required:"true" value-name:"IP:PORT" description:"where requests are taken"`
@@ -33,7 +33,7 @@
 	ColdFactor  float64       `long:"cold-factor" default:"4" description:"how many times as long work takes then"`
 }
 
-// Execute runs the back end until the context ends.
+// Execute runs the backend until the context ends.
 func (c *backendCommand) Execute([]string) error {
 	instance := backend.New(backend.Options{
 		Name: c.Name, Slots: c.Slots, Connections: c.Connections, Outbound: c.Outbound,
@@ -58,7 +58,7 @@
 	return eris.Wrap(instance.Close(finish), "stop the back end")
 }
 
-// stopTimeout limits how long the back end waits for requests in progress.
+// stopTimeout limits how long the backend waits for requests in progress.
 const stopTimeout = 10 * time.Second
 
 // serveHTTP serves a handler on address until stop is called.
--- a/internal/bench/demo/caller.go
+++ b/internal/bench/demo/caller.go
@@ -87,5 +87,5 @@
 	return nil
 }
 
-// audit compares all outcomes with the back ends' journals.
+// audit compares all outcomes with the backends' journals.
 func (c *caller) audit() load.Audit { return load.Check(c.results, c.mesh.Journal()) }
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -43,7 +43,7 @@
 	stepTimeout  = 10 * time.Second
 )
 
-// shortGrace is how long the planned stop of a node waits for requests.
+// shortGrace is how long the graceful shutdown of a node waits for requests.
 const shortGrace = 100 * time.Millisecond
 
 // Options configures a run of the demo.
--- a/internal/bench/deployment/deployment.go
+++ b/internal/bench/deployment/deployment.go
@@ -45,7 +45,7 @@
 	return Node{Settings: loaded.Settings, File: n.File, Overrides: merged}, nil
 }
 
-// Edge reports whether the node has no back end and takes requests from callers.
+// Edge reports whether the node has no backend and takes requests from callers.
 func (n Node) Edge() bool { return n.Inbound.Service == "" }
 
 // Member returns the node's entry in the platform's membership list.
--- a/internal/bench/goodput/chain.go
+++ b/internal/bench/goodput/chain.go
@@ -10,14 +10,14 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// callPath is the path at which the back ends make onward calls.
+// callPath is the path at which the backends make onward calls.
 const callPath = backend.PathCall
 
 // chain describes one call that passes through the services in turn.
 type chain struct {
 	services []string // services of the deployment, called in turn
-	hosts    []string // host of each back end that a call passes
-	capacity float64  // calls per second that the slots of the back ends allow
+	hosts    []string // host of each backend that a call passes
+	capacity float64  // calls per second that the slots of the backends allow
 }
 
 func newChain(plan *deployment.Deployment, depth int, work time.Duration) chain {
@@ -35,7 +35,7 @@
 	for hop := range depth {
 		service := result.services[hop%len(result.services)]
 		result.hosts = append(result.hosts, serviceHost(service))
-		// A back end occupies a slot until its onward call is answered.
+		// A backend occupies a slot until its onward call is answered.
 		slotTime[service] += time.Duration(depth-hop) * work
 	}
 	result.capacity = math.Inf(1)
--- a/internal/bench/goodput/goodput.go
+++ b/internal/bench/goodput/goodput.go
@@ -48,9 +48,9 @@
 	Factors []float64
 	// Duration is the time for which each load is offered.
 	Duration time.Duration
-	// Depth is the number of back ends that one call passes, at least 1.
+	// Depth is the number of backends that one call passes, at least 1.
 	Depth int
-	// Work is how long each back end works on a call before its onward call.
+	// Work is how long each backend works on a call before its onward call.
 	Work time.Duration
 	// Timeout is the timeout of the callers.
 	Timeout time.Duration
--- a/internal/bench/load/audit.go
+++ b/internal/bench/load/audit.go
@@ -2,10 +2,10 @@
 
 import "github.com/winchhead/winchhead/internal/emulator/backend"
 
-// Journal returns how often all back ends together ran the request with an ID.
+// Journal returns how often all backends together ran the request with an ID.
 type Journal func(id string) backend.Runs
 
-// MergeJournals returns a Journal over the records of several back ends.
+// MergeJournals returns a Journal over the records of several backends.
 func MergeJournals(records ...backend.JournalRecord) Journal {
 	merged := map[string]backend.Runs{}
 	for _, record := range records {
@@ -25,7 +25,7 @@
 	}
 }
 
-// Audit compares the outcomes that callers got with what the back ends ran. Each list
+// Audit compares the outcomes that callers got with what the backends ran. Each list
 // holds the IDs of the calls that violated a guarantee; all are empty if none was.
 type Audit struct {
 	// Doubled calls must not be repeated but ran more than once.
--- a/internal/bench/load/call.go
+++ b/internal/bench/load/call.go
@@ -13,9 +13,9 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// Call is one numbered request to an emulated back end.
+// Call is one numbered request to an emulated backend.
 type Call struct {
-	// ID is unique within a run and identifies the call in the back ends' journals.
+	// ID is unique within a run and identifies the call in the backends' journals.
 	ID string
 	// Method, Host and Path select the route.
 	Method, Host string
@@ -25,10 +25,10 @@
 	MayRepeat bool
 	// BodyBytes is the size of the request body.
 	BodyBytes int
-	// AnswerBytes is the size of the response body; if it is zero, the back end echoes
+	// AnswerBytes is the size of the response body; if it is zero, the backend echoes
 	// the request body.
 	AnswerBytes int
-	// Work is how long each back end works; zero uses the back end's default.
+	// Work is how long each backend works; zero uses the backend's default.
 	Work time.Duration
 	// Chain lists the onward calls ("host/path") in order.
 	Chain []string
@@ -40,7 +40,7 @@
 	Header http.Header
 }
 
-// onwardSuffix is what the emulated back end appends to the ID of each onward call.
+// onwardSuffix is what the emulated backend appends to the ID of each onward call.
 const onwardSuffix = "+"
 
 // ChainIDs returns the IDs of the call and of its onward calls.
--- a/internal/bench/load/class.go
+++ b/internal/bench/load/class.go
@@ -19,7 +19,7 @@
 	Unknown
 	// Cut: the response began but was cut off.
 	Cut
-	// Rejected: the back end itself responded with an error status.
+	// Rejected: the backend itself responded with an error status.
 	Rejected
 	// Wrong: the response looked complete but was not the expected one.
 	Wrong
--- a/internal/bench/load/entries.go
+++ b/internal/bench/load/entries.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Entries are the addresses that callers send requests to. Before a planned stop of
+// Entries are the addresses that callers send requests to. Before a graceful shutdown of
 // an entry its address is removed, as a name service or load balancer would do.
 type Entries struct {
 	addresses atomic.Pointer[[]string]
--- a/internal/bench/load/load_test.go
+++ b/internal/bench/load/load_test.go
@@ -16,7 +16,7 @@
 	"github.com/winchhead/winchhead/internal/proxy/outcome"
 )
 
-// call returns a call that asks the emulated back end for a fault.
+// call returns a call that asks the emulated backend for a fault.
 func call(id string, fault backend.Fault) load.Call {
 	header := http.Header{}
 	if fault != backend.FaultNone {
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestClasses sends calls directly to a back end and checks the class of each fault.
+// TestClasses sends calls directly to a backend and checks the class of each fault.
 func TestClasses(t *testing.T) {
 	instance := backend.New(backend.Options{Name: "b"})
 	qt.Assert(t, instance.Start("127.0.0.1:0"), qt.IsNil)
--- a/internal/bench/mesh/backend.go
+++ b/internal/bench/mesh/backend.go
@@ -23,5 +23,5 @@
 	return instance, instance.Restart()
 }
 
-// Restart starts the back end again after Kill or Close, at the same address.
+// Restart starts the backend again after Kill or Close, at the same address.
 func (b *Backend) Restart() error { return b.Start(b.address) }
--- a/internal/bench/mesh/embedded.go
+++ b/internal/bench/mesh/embedded.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Kill makes a planned stop: a node that runs in this process cannot be killed.
+// Kill shuts the node down gracefully: a node that runs in this process cannot be killed.
 func (e *embedded) Kill() error { return e.Stop(context.Background()) }
 
 func (*embedded) Pause() error  { return ErrUnsupported }
--- a/internal/bench/mesh/hops.go
+++ b/internal/bench/mesh/hops.go
@@ -14,7 +14,7 @@
 
 // The hops.
 const (
-	// HopBackend is from the sidecar to its back end.
+	// HopBackend is from the sidecar to its backend.
 	HopBackend Hop = "backend"
 	// HopData is from other nodes to the node's inbound proxy.
 	HopData Hop = "data"
--- a/internal/bench/mesh/mesh.go
+++ b/internal/bench/mesh/mesh.go
@@ -1,5 +1,5 @@
 // Package mesh runs a whole deployment on one machine: the emulated platform,
-// the emulated back ends and the nodes, in this process or as processes of the
+// the emulated backends and the nodes, in this process or as processes of the
 // winchhead binary, with fault proxies on the hops between them. The demo, the
 // soak test, the benchmarks and the integration tests use it and do their own checks.
 package mesh
@@ -27,7 +27,7 @@
 	// Host is the loopback IP of all addresses; empty picks one with NextHost.
 	Host string
 	// Binary is the path of the winchhead binary; empty runs the nodes in this
-	// process, where they cannot be paused and Kill is a planned stop.
+	// process, where they cannot be paused and Kill shuts them down gracefully.
 	Binary string
 	// Logs receives the logs of the nodes; nil discards them.
 	Logs io.Writer
@@ -37,7 +37,7 @@
 	Hops []Hop
 	// Platform configures the emulated platform. Content is set by Start.
 	Platform platform.Options
-	// Backend configures every emulated back end. Name, Slots, Connections and
+	// Backend configures every emulated backend. Name, Slots, Connections and
 	// Outbound are set by Start.
 	Backend backend.Options
 }
@@ -55,7 +55,7 @@
 	hops     hopTable
 }
 
-// Start starts the platform, all back ends and all nodes. It doesn't wait until
+// Start starts the platform, all backends and all nodes. It doesn't wait until
 // the nodes are ready.
 func Start(ctx context.Context, options Options) (*Mesh, error) {
 	m := &Mesh{options: options, hops: hopTable{}, Entries: load.NewEntries()}
@@ -94,7 +94,7 @@
 	return moved.Map(func(deployment.Node) (settings.Overrides, error) { return m.options.Overrides, nil })
 }
 
-// add starts a node and, unless it is an edge, its back end.
+// add starts a node and, unless it is an edge, its backend.
 func (m *Mesh) add(ctx context.Context, plan deployment.Node) error {
 	if !plan.Edge() {
 		instance, err := startBackend(m.options.Backend, plan)
@@ -142,7 +142,7 @@
 	return slices.DeleteFunc(m.Nodes(), func(node *Node) bool { return node.plan.Edge() })
 }
 
-// Backends returns all back ends.
+// Backends returns all backends.
 func (m *Mesh) Backends() []*Backend { return slices.Clone(m.backends) }
 
 // Backend returns the backend of the sidecar with a name; it panics if there is none.
@@ -155,7 +155,7 @@
 	panic("there is no backend of node " + node)
 }
 
-// Journal returns the merged journals of what all back ends have run so far.
+// Journal returns the merged journals of what all backends have run so far.
 func (m *Mesh) Journal() load.Journal {
 	records := make([]backend.JournalRecord, 0, len(m.backends))
 	for _, instance := range m.backends {
@@ -164,8 +164,8 @@
 	return load.MergeJournals(records...)
 }
 
-// Close kills the nodes and back ends and stops the platform, without planned
-// stops of the nodes that are processes.
+// Close kills the nodes and backends and stops the platform. Nodes that are processes
+// don't shut down gracefully.
 func (m *Mesh) Close() error {
 	var group errgroup.Group
 	for _, node := range m.nodes {
--- a/internal/bench/mesh/node.go
+++ b/internal/bench/mesh/node.go
@@ -18,9 +18,9 @@
 type runner interface {
 	// Start starts the node, which must not be running.
 	Start() error
-	// Stop makes a planned stop and waits until the node has stopped.
+	// Stop shuts the node down gracefully and waits until it has stopped.
 	Stop(ctx context.Context) error
-	// Kill kills the node if it is a process, makes a planned stop otherwise, and
+	// Kill kills the node if it is a process, shuts it down gracefully otherwise, and
 	// waits until the node has stopped. It does nothing if the node isn't running.
 	Kill() error
 	Pause() error
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Replace makes a planned stop, starts the node again and waits until it is ready.
+// Replace shuts the node down gracefully, starts it again and waits until it is ready.
 func (n *Node) Replace(ctx context.Context) error {
 	if err := n.Stop(ctx); err != nil {
 		return err
@@ -81,7 +81,7 @@
 	return n.mesh.AwaitReady(ctx, n)
 }
 
-// Stop makes a planned stop: it removes the node from Mesh.Entries, marks it as
+// Stop shuts the node down gracefully: it removes the node from Mesh.Entries, marks it as
 // leaving in the platform's membership list, stops it and waits until it has ended.
 func (n *Node) Stop(ctx context.Context) error {
 	n.mesh.Entries.Remove(n.Outbound())
--- a/internal/bench/overhead/overhead.go
+++ b/internal/bench/overhead/overhead.go
@@ -1,5 +1,5 @@
 // Package overhead measures the latency that the two proxy hops of winchhead add to a
-// call. The same calls are sent to one back end directly and through an edge, in
+// call. The same calls are sent to one backend directly and through an edge, in
 // alternating turns of one run, so that both are measured under the same conditions.
 package overhead
 
@@ -27,7 +27,7 @@
 	// Turn is the duration of one turn, and Turns is the number of turns for each path.
 	Turn  time.Duration
 	Turns int
-	// Work is how long the back end works on a call.
+	// Work is how long the backend works on a call.
 	Work time.Duration
 	// Progress, if set, is called after each turn.
 	Progress func(path string, summary load.Summary)
@@ -52,7 +52,7 @@
 	path         = "/echo"
 )
 
-// Run measures with the first edge and a back end in its zone.
+// Run measures with the first edge and a backend in its zone.
 func Run(ctx context.Context, options Options) (Report, error) {
 	plan := *options.Deployment
 	running, err := mesh.Start(ctx, mesh.Options{Deployment: &plan, Binary: options.Binary})
@@ -124,7 +124,7 @@
 	return err
 }
 
-// callPath is one of the paths by which calls reach the back end.
+// callPath is one of the paths by which calls reach the backend.
 type callPath struct {
 	name      string
 	entries   *load.Entries
--- a/internal/bench/process/process.go
+++ b/internal/bench/process/process.go
@@ -80,7 +80,7 @@
 	return err
 }
 
-// Stop makes a planned stop (SIGTERM) and waits until the process has ended.
+// Stop shuts the process down gracefully (SIGTERM) and waits until it has ended.
 func (p *Process) Stop(ctx context.Context) error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
--- a/internal/bench/soak/faults.go
+++ b/internal/bench/soak/faults.go
@@ -42,7 +42,7 @@
 const (
 	cutBytes  = 700
 	linkDelay = 150 * time.Millisecond
-	// stopGrace limits how long the soak test waits for a planned stop.
+	// stopGrace limits how long the soak test waits for a graceful shutdown.
 	stopGrace = 45 * time.Second
 )
 
@@ -120,7 +120,7 @@
 	}
 }
 
-// drainBackend has a back end announce that it is draining, close once its requests
+// drainBackend has a backend announce that it is draining, close once its requests
 // are finished, and restart.
 func drainBackend(random *rand.Rand, running *mesh.Mesh) injectedFault {
 	instance := pickRandom(random, running.Backends())
--- a/internal/bench/soak/guarantees.go
+++ b/internal/bench/soak/guarantees.go
@@ -25,7 +25,7 @@
 	r.checkBackends()
 }
 
-// checkBackends checks the violations that the back ends counted.
+// checkBackends checks the violations that the backends counted.
 func (r *run) checkBackends() {
 	for _, instance := range r.mesh.Backends() {
 		statistics := instance.Statistics()
--- a/internal/bench/soak/soak.go
+++ b/internal/bench/soak/soak.go
@@ -164,7 +164,7 @@
 }
 
 // applyFaults begins faults one after the other, waits for a random duration and
-// undoes them in reverse order. A fault that cannot begin, such as a planned stop
+// undoes them in reverse order. A fault that cannot begin, such as a graceful shutdown
 // that takes too long, is reported as progress and skipped.
 func (r *run) applyFaults(ctx context.Context, faults []injectedFault, change bool) error {
 	duration := r.randomDuration(shortestFault, longestFault)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -27,7 +27,7 @@
 }
 
 // Run parses the arguments (without the program's name), runs the subcommand and
-// returns the exit code. Cancelling ctx starts a planned stop of a node.
+// returns the exit code. Cancelling ctx starts a graceful shutdown of a node.
 func Run(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
 	env := environment{ctx: ctx, stdout: stdout, stderr: stderr}
 	parser, err := newParser(env)
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -174,10 +174,10 @@
 // defaultDrainTime is how long a drain without a deadline may take.
 const defaultDrainTime = 30 * time.Second
 
-// Drain prepares a planned stop and ends with the context at the latest. For DrainNotice, until
-// others know of the stop, the node goes on serving callers, and its instance goes on with
-// requests that end in time; callers are asked to close their connections. Drain returns once
-// no request has been in progress for a while.
+// Drain prepares a graceful shutdown and ends with the context at the latest. For DrainNotice,
+// until others know of the shutdown, the node goes on serving callers, and its instance goes on
+// with requests that end in time; callers are asked to close their connections. Drain returns
+// once no request has been in progress for a while.
 func (n *Node) Drain(ctx context.Context) error {
 	started := time.Now()
 	end, bounded := ctx.Deadline()
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -129,13 +129,13 @@
 // last request must have ended.
 type plannedStop struct{ refuseAt, end time.Time }
 
-// Drain announces a planned stop of the node. The instance keeps running, so requests are
+// Drain announces a graceful shutdown of the node. The instance keeps running, so requests are
 // sent to it until refuseAt if their deadlines are not after end.
 func (p *Proxy) Drain(refuseAt, end time.Time) {
 	p.stop.Store(&plannedStop{refuseAt: refuseAt, end: end})
 }
 
-// stopsBefore reports whether a planned stop leaves no time for a request with the deadline.
+// stopsBefore reports whether a graceful shutdown leaves no time for a request with the deadline.
 func (p *Proxy) stopsBefore(deadline time.Time) bool {
 	stop := p.stop.Load()
 	return stop != nil && (deadline.After(stop.end) || !time.Now().Before(stop.refuseAt))
--- a/internal/dataplane/inbound/inbound_test.go
+++ b/internal/dataplane/inbound/inbound_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestPlannedStopKeepsServing checks that during a planned stop the node still sends to the
-// running instance what ends in time, until the other nodes know of the stop.
+// TestPlannedStopKeepsServing checks that during a graceful shutdown the node still sends to the
+// running instance what ends in time, until the other nodes know of the shutdown.
 func TestPlannedStopKeepsServing(t *testing.T) {
 	now := time.Now()
 	rows := map[string]struct {
--- a/internal/dataplane/outbound/outbound.go
+++ b/internal/dataplane/outbound/outbound.go
@@ -78,7 +78,7 @@
 	repeatLedger  *repeats.Ledger
 	log           *requestLog
 	metrics       *metrics
-	// stopAt is when a planned stop ends, in nanoseconds since epoch; zero: none.
+	// stopAt is when a graceful shutdown ends, in nanoseconds since epoch; zero: none.
 	stopAt atomic.Int64
 	// stopped is cancelled by Stop.
 	stopped context.Context
@@ -112,7 +112,7 @@
 	return created, nil
 }
 
-// Drain announces the end of a planned stop: from now on, requests that might not be
+// Drain announces the end of a graceful shutdown: from now on, requests that might not be
 // answered by then are refused.
 func (p *Proxy) Drain(end time.Time) { p.stopAt.Store(int64(end.Sub(epoch))) }
 
@@ -122,7 +122,7 @@
 // epoch is the reference time of stopAt.
 var epoch = time.Now()
 
-// stopsBefore reports whether a planned stop ends before the deadline.
+// stopsBefore reports whether a graceful shutdown ends before the deadline.
 func (p *Proxy) stopsBefore(deadline time.Time) bool {
 	stopAt := p.stopAt.Load()
 	return stopAt > 0 && deadline.Sub(epoch) > time.Duration(stopAt)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -51,11 +51,11 @@
 	// PeerAddress is where the node accepts links of other nodes (IP:port).
 	PeerAddress string `json:"peer_address"`
 	// DataAddress is where the node's inbound proxy accepts requests (IP:port);
-	// empty for a node without a back end.
+	// empty for a node without a backend.
 	DataAddress string `json:"data_address,omitempty"`
 	// Service is the service of the node's backend, or empty.
 	Service string `json:"service,omitempty"`
-	// Slots is how many requests the back end runs at once.
+	// Slots is how many requests the backend runs at once.
 	Slots int `json:"slots,omitempty"`
 }
 
--- a/internal/proxy/inbound/drain.go
+++ b/internal/proxy/inbound/drain.go
@@ -15,7 +15,7 @@
 // within which a leaving instance must stop getting new requests.
 const drainNotice = 2 * time.Second
 
-// Drain prepares a planned stop. It publishes that the instance drains, accepts
+// Drain prepares a graceful shutdown. It publishes that the instance drains, accepts
 // requests for drainNotice, then refuses them as not run, and waits at most the
 // settings' DrainGrace for the requests and sessions in progress. It returns an error
 // if some are left; Close cuts them. It does not close the listener: until the server
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -100,29 +100,29 @@
 	Listen string `yaml:"listen" validate:"required_with=Service,omitempty,address" help:"IP:port for requests of other nodes"`
 	// Advertise is the address announced to other nodes; empty means Listen.
 	Advertise string `yaml:"advertise" validate:"omitempty,address" help:"IP:port that other nodes are told; empty: inbound.listen"`
-	// Service is the service that the back end belongs to.
+	// Service is the service that the backend belongs to.
 	Service string `yaml:"service" validate:"max=128" help:"service of the back end beside the node; empty: no inbound proxy"`
-	// Backend is the back end's address (IP:port).
+	// Backend is the backend's address (IP:port).
 	Backend string `yaml:"backend" validate:"required_with=Service,omitempty,address" help:"IP:port of the back end"`
-	// Slots is how many requests the back end processes concurrently.
+	// Slots is how many requests the backend processes concurrently.
 	Slots int `yaml:"slots" validate:"min=1" help:"requests that the back end runs at once"`
-	// Connections is how many connections the back end accepts.
+	// Connections is how many connections the backend accepts.
 	Connections int `yaml:"connections" validate:"min=1" help:"connections that the back end takes"`
 	// MaxQueued is the maximum number of requests waiting for a slot; with 0, requests
 	// that find no free slot are refused at once.
 	MaxQueued int `yaml:"max_queued" validate:"min=0" help:"most requests waiting for a slot; 0: refuse at once"`
-	// HealthPath and LoadPath are the paths of the back end's health and load reports;
+	// HealthPath and LoadPath are the paths of the backend's health and load reports;
 	// empty: not polled.
 	HealthPath string `yaml:"health_path" validate:"omitempty,startswith=/" help:"path of the back end's health report; empty: not asked"`
 	LoadPath   string `yaml:"load_path" validate:"omitempty,startswith=/" help:"path of the back end's load report; empty: not asked"`
 	// HealthInterval is the interval at which the reports are polled.
 	HealthInterval time.Duration `yaml:"health_interval" validate:"gt=0" help:"time between two reads of the reports"`
-	// DrainGrace is how long a planned stop waits for requests in progress.
+	// DrainGrace is how long a graceful shutdown waits for requests in progress.
 	DrainGrace time.Duration `yaml:"drain_grace" validate:"gt=0" help:"how long a planned stop waits for requests in progress"`
-	// DrainNotice is how long a planned stop still accepts requests, while its senders
+	// DrainNotice is how long a graceful shutdown still accepts requests, while its senders
 	// learn of it.
 	DrainNotice time.Duration `yaml:"drain_notice" validate:"min=0" help:"how long a planned stop still takes requests, until those who send them know (store)"`
-	// ColdOverage and ColdSlack limit the requests per second sent to a cold back end:
+	// ColdOverage and ColdSlack limit the requests per second sent to a cold backend:
 	// the factor on the rate that its service sets, and the excess beyond that.
 	ColdOverage float64 `yaml:"cold_overage" validate:"min=0,max=100" help:"times the rate of its service that a cold back end may get; below 1: 1 (store)"`
 	ColdSlack   float64 `yaml:"cold_slack" validate:"min=0,max=1000000" help:"requests in a second that a cold back end may get beyond that (store)"`
--- a/internal/snapshot/document.go
+++ b/internal/snapshot/document.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Service is a named set of back-end instances that routes can target.
+// Service is a named set of backend instances that routes can target.
 type Service struct {
 	// Name is unique within a document.
 	Name string `json:"name"`
--- a/internal/snapshot/table.go
+++ b/internal/snapshot/table.go
@@ -166,7 +166,7 @@
 }
 
 // matchesHeader reports whether the header occurs exactly once and has the value. A repeated header
-// never matches, as the back end might use the other value.
+// never matches, as the backend might use the other value.
 func matchesHeader(header http.Header, name, value string) bool {
 	values := header[name]
 	return len(values) == 1 && values[0] == value
--- a/test/integration/claims_test.go
+++ b/test/integration/claims_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestKeyRunsOnceWhenItsNodesAreKilled runs a booking with a key, then kills and replaces
-// both nodes that know of it: the caller's edge and the sidecar of the back end that ran
+// both nodes that know of it: the caller's edge and the sidecar of the backend that ran
 // it. Repeating the booking through the other edge must not run it again.
 func TestKeyRunsOnceWhenItsNodesAreKilled(t *testing.T) {
 	t.Parallel()
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// runsOf returns how often the booking with the key ran on all back ends.
+// runsOf returns how often the booking with the key ran on all backends.
 func runsOf(running *mesh.Mesh, key string) int {
 	total := 0
 	for _, instance := range running.Backends() {
--- a/test/integration/drain_test.go
+++ b/test/integration/drain_test.go
@@ -16,7 +16,7 @@
 	guaranteePlannedStop = "A planned stop cuts no request in progress."
 )
 
-// drainRow is a planned departure of a node or back end under load. In every row all
+// drainRow is a planned departure of a node or backend under load. In every row all
 // calls must be answered.
 type drainRow struct {
 	name      string
@@ -51,7 +51,7 @@
 	}},
 }
 
-// leaveAndReturn drains a back end and restarts it as a new process once its node has
+// leaveAndReturn drains a backend and restarts it as a new process once its node has
 // seen that it is gone.
 func leaveAndReturn(ctx context.Context, t *testing.T, m *mesh.Mesh, instance *mesh.Backend, calling *callers) {
 	instance.Drain()
@@ -80,7 +80,7 @@
 	qt.Assert(t, idle, qt.Equals, 1, qt.Commentf("started before %v, after %v", before, after))
 }
 
-// startedOn returns how many requests each back end has begun.
+// startedOn returns how many requests each backend has begun.
 func startedOn(m *mesh.Mesh) map[string]int {
 	started := map[string]int{}
 	for _, instance := range m.Backends() {
--- a/test/integration/examples_test.go
+++ b/test/integration/examples_test.go
@@ -18,7 +18,7 @@
 var routeTimeout = regexp.MustCompile(`timeout = "[0-9]+m?s"`)
 
 // TestExamples runs each example deployment with real processes and sends its workload.
-// Every call must be answered, and the journals of the back ends must agree.
+// Every call must be answered, and the journals of the backends must agree.
 func TestExamples(t *testing.T) {
 	t.Parallel()
 	const callsPerSecond, seconds = 100, 2
--- a/test/integration/faults_test.go
+++ b/test/integration/faults_test.go
@@ -38,7 +38,7 @@
 	// timeout is the timeout of the calls. Zero means callTimeout.
 	timeout time.Duration
 	// allowed lists the results that calls may have besides Answered. Calls with a short
-	// timeout may be Rejected: the back end itself answers that their time is over.
+	// timeout may be Rejected: the backend itself answers that their time is over.
 	allowed []load.Class
 	// awaited lists results of which at least one must occur during the fault.
 	awaited []load.Class
@@ -75,7 +75,7 @@
 	return row
 }
 
-// withBehavior returns the row with a changed behavior of the back end.
+// withBehavior returns the row with a changed behavior of the backend.
 func withBehavior(row faultRow, behavior backend.Behavior) faultRow {
 	row.begin = func(_ context.Context, m *mesh.Mesh) error { m.Backend(targetNode).Configure(behavior); return nil }
 	row.end = func(_ context.Context, m *mesh.Mesh) error {
@@ -97,12 +97,12 @@
 	shortTimeout  = 500 * time.Millisecond
 	linkDelay     = 30 * time.Millisecond
 	cutAfterBytes = 30_000
-	// brokenAnswers is the number of answers that the back end breaks: more than a row has, so
+	// brokenAnswers is the number of answers that the backend breaks: more than a row has, so
 	// that all are broken until the row ends.
 	brokenAnswers = 1 << 30
 )
 
-// falseLoad is the load that a back end falsely reports.
+// falseLoad is the load that a backend falsely reports.
 var falseLoad = 1.0
 
 // faultRows are the tested faults. Each begins while calls are in progress.
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -1,5 +1,5 @@
 // Package integration tests the guarantees of the mesh with real processes: the winchhead
-// binary, started and stopped by the tests, between the emulated platform and back ends.
+// binary, started and stopped by the tests, between the emulated platform and backends.
 package integration
 
 import (
--- a/test/integration/mesh_test.go
+++ b/test/integration/mesh_test.go
@@ -77,7 +77,7 @@
 )
 
 // lastCallNumber is the number of the last call. All tests share it, because journals of
-// back ends outlive a test.
+// backends outlive a test.
 var lastCallNumber atomic.Uint64
 
 // callers send numbered calls without pause, check every byte of the answers and keep all
@@ -221,8 +221,8 @@
 	qt.Assert(t, unwanted, qt.HasLen, 0, qt.Commentf("allowed %v; all: %v", allowed, classes(results)))
 }
 
-// assertGuarantees checks the results against the journals of the back ends, and that no
-// back end got more requests or connections at once than it allows.
+// assertGuarantees checks the results against the journals of the backends, and that no
+// backend got more requests or connections at once than it allows.
 func assertGuarantees(t testing.TB, running *mesh.Mesh, results []load.Result) {
 	audit := load.Check(results, running.Journal())
 	qt.Assert(t, audit.Passed(), qt.IsTrue, qt.Commentf("%+v", audit))
--- a/test/integration/whole_path_test.go
+++ b/test/integration/whole_path_test.go
@@ -21,7 +21,7 @@
 )
 
 // TestWholePath distributes a policy from the platform to three nodes and sends a request
-// to a back end, with every component in a process of its own.
+// to a backend, with every component in a process of its own.
 func TestWholePath(t *testing.T) {
 	t.Parallel()
 	host := mesh.NextHost()
@@ -89,7 +89,7 @@
 }
 
 // awaitReady waits until a node reports that it accepts callers. An edge has a configuration
-// in force a moment before it knows a back end.
+// in force a moment before it knows a backend.
 func awaitReady(t testing.TB, address string) {
 	ctx := testContext(t)
 	for {
@@ -117,7 +117,7 @@
 	return version
 }
 
-// readJournals reads the journals of back ends from their control HTTP servers.
+// readJournals reads the journals of backends from their control HTTP servers.
 func readJournals(t testing.TB, controls []string) load.Journal {
 	var records []backend.JournalRecord
 	for _, control := range controls {
