--- a/internal/bench/repeatcheck/repeatcheck.go
+++ b/internal/bench/repeatcheck/repeatcheck.go
@@ -30,29 +30,29 @@
 	// Share is the used share of the bound; above 1 the bound was exceeded.
 	Share float64
 	// From is the start of the window.
-	From             time.Duration
-	Beyond, Requests int
-	Allowed          float64
+	From              time.Duration
+	Repeats, Requests int
+	Allowed           float64
 }
 
 // String describes the window and its limit.
 func (w Window) String() string {
-	return fmt.Sprintf("%d repeated arrivals in the window from %v on, for %d requests; allowed %.0f", w.Beyond, w.From, w.Requests, w.Allowed)
+	return fmt.Sprintf("%d repeated arrivals in the window from %v on, for %d requests; allowed %.0f", w.Repeats, w.From, w.Requests, w.Allowed)
 }
 
 // Worst returns the window that used the largest share of the bound. The requests of a
 // window are those in it, in the window before it or in the window that starts half a window
 // earlier, whichever has most.
 func (s Observations) Worst(bound Bound) (worst Window) {
-	requests, beyond := slices.Sorted(slices.Values(s.Requests)), slices.Sorted(slices.Values(s.Repeats))
-	for _, from := range beyond {
+	requests, repeats := slices.Sorted(slices.Values(s.Requests)), slices.Sorted(slices.Values(s.Repeats))
+	for _, from := range repeats {
 		window := Window{
-			From: from, Beyond: countBetween(beyond, from, from+bound.Window),
+			From: from, Repeats: countBetween(repeats, from, from+bound.Window),
 			Requests: max(countBetween(requests, from, from+bound.Window), countBetween(requests, from-bound.Window, from),
 				countBetween(requests, from-bound.Window/2, from+bound.Window/2)),
 		}
 		window.Allowed = bound.Ratio*float64(window.Requests) + bound.Slack
-		if window.Share = float64(window.Beyond) / window.Allowed; window.Share > worst.Share {
+		if window.Share = float64(window.Repeats) / window.Allowed; window.Share > worst.Share {
 			worst = window
 		}
 	}
--- a/internal/bench/repeatcheck/repeatcheck_test.go
+++ b/internal/bench/repeatcheck/repeatcheck_test.go
@@ -26,19 +26,19 @@
 		"no requests": {},
 		"all requests and repeats in one window": {
 			repeatcheck.Observations{Requests: every(100*time.Millisecond, 0, 10*time.Second), Repeats: every(time.Second, 0, 10*time.Second)},
-			repeatcheck.Window{Share: 10.0 / 30, Beyond: 10, Requests: 100, Allowed: 30},
+			repeatcheck.Window{Share: 10.0 / 30, Repeats: 10, Requests: 100, Allowed: 30},
 		},
 		"requests in the window before the repeats": {
 			repeatcheck.Observations{Requests: every(100*time.Millisecond, 0, 10*time.Second), Repeats: every(100*time.Millisecond, 10*time.Second, 14*time.Second)},
-			repeatcheck.Window{Share: 40.0 / 30, From: 10 * time.Second, Beyond: 40, Requests: 100, Allowed: 30},
+			repeatcheck.Window{Share: 40.0 / 30, From: 10 * time.Second, Repeats: 40, Requests: 100, Allowed: 30},
 		},
 		"repeats at both ends of a window": {
 			repeatcheck.Observations{Repeats: []time.Duration{0, 10 * time.Second}},
-			repeatcheck.Window{Share: 0.2, Beyond: 2, Allowed: 10},
+			repeatcheck.Window{Share: 0.2, Repeats: 2, Allowed: 10},
 		},
 		"repeats in two windows": {
 			repeatcheck.Observations{Repeats: []time.Duration{0, 10*time.Second + 1}},
-			repeatcheck.Window{Share: 0.1, Beyond: 1, Allowed: 10},
+			repeatcheck.Window{Share: 0.1, Repeats: 1, Allowed: 10},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
