--- a/internal/bench/faultproxy/silencer_test.go
+++ b/internal/bench/faultproxy/stalling_proxy_test.go
@@ -34,11 +34,11 @@
 			}()
 		}
 	}()
-	silencer, err := faultproxy.NewStallingProxy("127.0.0.1:0", echo.Addr().String(), nil)
+	proxy, err := faultproxy.NewStallingProxy("127.0.0.1:0", echo.Addr().String(), nil)
 	c.Assert(err, qt.IsNil)
-	defer silencer.Close()
+	defer proxy.Close()
 	dial := func() (net.Conn, *bufio.Reader) {
-		conn, err := net.Dial("tcp", silencer.Address())
+		conn, err := net.Dial("tcp", proxy.Address())
 		c.Assert(err, qt.IsNil)
 		_, err = conn.Write([]byte("first\n"))
 		c.Assert(err, qt.IsNil)
@@ -50,7 +50,7 @@
 	}
 	old, oldReader := dial()
 	defer old.Close()
-	silencer.StallOpenConnections()
+	proxy.StallOpenConnections()
 	_, err = old.Write([]byte("second\n"))
 	c.Assert(err, qt.IsNil)
 	later, _ := dial()
--- a/internal/bench/storesoak/links.go
+++ b/internal/bench/storesoak/links.go
@@ -35,23 +35,23 @@
 // connections fall silent.
 type linkProxy struct {
 	*faultproxy.Proxy
-	silencer *faultproxy.StallingProxy
+	stalling *faultproxy.StallingProxy
 	rate     int64
 }
 
 // newLinkProxy starts a proxy at listen that forwards to upstream through a silencer at
 // silencerListen.
 func newLinkProxy(name, listen, silencerListen, upstream string, rate int64) (*linkProxy, error) {
-	silencer, err := faultproxy.NewStallingProxy(silencerListen, upstream, nil)
+	stalling, err := faultproxy.NewStallingProxy(silencerListen, upstream, nil)
 	if err != nil {
 		return nil, err
 	}
-	proxy, err := faultproxy.New(name, listen, silencer.Address())
+	proxy, err := faultproxy.New(name, listen, stalling.Address())
 	if err != nil {
-		silencer.Close()
+		stalling.Close()
 		return nil, err
 	}
-	created := &linkProxy{Proxy: proxy, silencer: silencer, rate: rate}
+	created := &linkProxy{Proxy: proxy, stalling: stalling, rate: rate}
 	return created, created.limitRate()
 }
 
@@ -79,5 +79,5 @@
 // close closes the proxy and its connections.
 func (l *linkProxy) close() {
 	l.Close()
-	l.silencer.Close()
+	l.stalling.Close()
 }
--- a/internal/bench/storesoak/silence.go
+++ b/internal/bench/storesoak/silence.go
@@ -18,8 +18,8 @@
 		name: "connections fall silent", machines: numbers, impaired: numbers, duration: silenceDetectionTime,
 		begin: func(context.Context) error {
 			return f.forAll(numbers, func(m *machine) error {
-				m.data.silencer.StallOpenConnections()
-				m.peers.silencer.StallOpenConnections()
+				m.data.stalling.StallOpenConnections()
+				m.peers.stalling.StallOpenConnections()
 				return nil
 			})
 		},
