--- a/internal/bench/storesoak/links.go
+++ b/internal/bench/storesoak/links.go
@@ -31,7 +31,7 @@
 	return int64(l.slowest * factor * bytesPerMegabit)
 }
 
-// linkProxy is a fault proxy on a link with a rate limit. Its silencer can make all open
+// linkProxy is a fault proxy on a link with a rate limit. Its stalling proxy can make all open
 // connections fall silent.
 type linkProxy struct {
 	*faultproxy.Proxy
@@ -39,10 +39,10 @@
 	rate     int64
 }
 
-// newLinkProxy starts a proxy at listen that forwards to upstream through a silencer at
+// newLinkProxy starts a proxy at listen that forwards to upstream through a stalling proxy at
 // silencerListen.
-func newLinkProxy(name, listen, silencerListen, upstream string, rate int64) (*linkProxy, error) {
-	stalling, err := faultproxy.NewStallingProxy(silencerListen, upstream, nil)
+func newLinkProxy(name, listen, stallingListen, upstream string, rate int64) (*linkProxy, error) {
+	stalling, err := faultproxy.NewStallingProxy(stallingListen, upstream, nil)
 	if err != nil {
 		return nil, err
 	}
