--- a/internal/bench/storesoak/links.go
+++ b/internal/bench/storesoak/links.go
@@ -40,7 +40,7 @@
 }
 
 // newLinkProxy starts a proxy at listen that forwards to upstream through a stalling proxy at
-// silencerListen.
+// stallingListen.
 func newLinkProxy(name, listen, stallingListen, upstream string, rate int64) (*linkProxy, error) {
 	stalling, err := faultproxy.NewStallingProxy(stallingListen, upstream, nil)
 	if err != nil {
