--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -69,8 +69,8 @@
 	Status    distribution.StatusSource
 	// Restores may be nil if the source is never restored.
 	Restores Restores
-	// Suspects holds the requests that may crash instances; nil means an empty ledger.
-	Suspects *suspects.Ledger
+	// Suspects holds the requests that may crash instances; nil means an empty tracker.
+	Suspects *suspects.Tracker
 	Gatherer prometheus.Gatherer
 	Logger   logrus.FieldLogger
 }
@@ -84,7 +84,7 @@
 // New returns the admin API of one node.
 func New(options Options) *Server {
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	server := &Server{options: options, router: chi.NewRouter()}
 	server.router.Group(func(router chi.Router) {
@@ -154,7 +154,7 @@
 func (s *Server) fleet(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), fleetTimeout)
 	defer cancel()
-	fleet := newFleetStatus(s.options.Status.AskAll(ctx))
+	fleet := newFleetStatus(s.options.Status.QueryAll(ctx))
 	fleet.Restore = s.lastRestore()
 	s.write(w, http.StatusOK, fleet)
 }
@@ -170,7 +170,7 @@
 	}
 	return &Restore{
 		From: restore.From, To: restore.To, Age: Duration(restore.Age.Round(time.Millisecond)),
-		Retained: restore.Retained, RetainedFor: Duration(restore.Left.Round(time.Millisecond)),
+		Retained: restore.Retained, RetainedFor: Duration(restore.RetainedFor.Round(time.Millisecond)),
 	}
 }
 
--- a/internal/app/store.go
+++ b/internal/app/store.go
@@ -62,13 +62,13 @@
 	}
 	store := platform.NewStore(configured.Platform.URL, client.DialRemote)
 	followed, err := mirror.New(mirror.Options{
-		Store:      store,
-		Logger:     logging.Part(logger, "mirror"),
-		MemberOf:   sidecarOf(configured, regions),
-		Validate:   validateConfiguration,
-		Timeout:    configured.Platform.Timeout,
-		Registerer: registerer,
-		NoGrace:    !configured.Mechanisms.LapseGrace,
+		Store:                store,
+		Logger:               logging.Part(logger, "mirror"),
+		MemberOf:             sidecarOf(configured, regions),
+		Validate:             validateConfiguration,
+		Timeout:              configured.Platform.Timeout,
+		Registerer:           registerer,
+		DisableRecoveryGrace: !configured.Mechanisms.LapseGrace,
 	})
 	return storeReader{Mirror: followed, store: store}, err
 }
@@ -147,7 +147,7 @@
 	Settings   settings.Settings
 	Listeners  *listeners
 	Applier    *configuration.Applier
-	Suspects   *suspects.Ledger
+	Suspects   *suspects.Tracker
 	Logger     logrus.FieldLogger
 	Registerer prometheus.Registerer
 }
@@ -166,7 +166,7 @@
 		return nil, &SettingsError{Err: eris.New("platform.kind store needs outbound.listen, inbound.listen and inbound.service")}
 	}
 	return dataplane.New(dataplane.Options{
-		Names:     platform.Names(),
+		Names:     platform.HeaderNames(),
 		Snapshots: inputs.Applier,
 		Service:   configured.Inbound.Service,
 		Zone:      configured.Node.Zone,
--- a/internal/bench/storesoak/cold.go
+++ b/internal/bench/storesoak/cold.go
@@ -33,8 +33,8 @@
 func (s *soak) checkColdInstances() {
 	for _, m := range s.fleet.machines {
 		for _, emulated := range m.instances() {
-			if emulated.FellOver() {
-				s.report.FellOver++
+			if emulated.Overloaded() {
+				s.report.ColdOverloads++
 				s.violation("%s received more than %d requests within a second while it was cold", emulated.Name, coldOverloadPerSecond)
 			}
 		}
--- a/internal/bench/storesoak/crash.go
+++ b/internal/bench/storesoak/crash.go
@@ -34,7 +34,7 @@
 // enableCrashes makes an instance crash on crashing calls and restart under its name.
 func (f *fleet) enableCrashes(emulated *instance.Instance, m *machine) {
 	emulated.CrashesOn = func(id string) bool { return strings.HasPrefix(id, crashPrefix) }
-	emulated.Crashed = func() {
+	emulated.OnCrash = func() {
 		down := shortestDowntime + time.Duration(rand.Int64N(int64(longestDowntime-shortestDowntime)))
 		time.AfterFunc(down, func() { f.restartInstance(emulated, m) })
 	}
@@ -88,7 +88,7 @@
 	}
 	for _, c := range calls {
 		if !c.crashesInstances() && c.status == http.StatusServiceUnavailable && strings.Contains(c.responseBody, crashRefusalText) {
-			s.report.ShutOut++
+			s.report.WronglyRefused++
 			s.violation("%s was refused as a request that crashes instances, which it is not", c.id)
 		}
 	}
--- a/internal/bench/storesoak/fleet.go
+++ b/internal/bench/storesoak/fleet.go
@@ -186,8 +186,8 @@
 	m.instance = created
 	m.startedAt = time.Now()
 	if coldFor > 0 {
-		created.SetMostPerSecond(coldOverloadPerSecond)
-		time.AfterFunc(coldFor, func() { created.SetMostPerSecond(0) })
+		created.SetMaxPerSecond(coldOverloadPerSecond)
+		time.AfterFunc(coldFor, func() { created.SetMaxPerSecond(0) })
 	}
 	f.register(m, store.StateReady, coldFor)
 	return nil
@@ -205,10 +205,10 @@
 // Callers hold the machine's mutex.
 func (f *fleet) register(m *machine, state string, coldFor time.Duration) {
 	f.store.PutJSON(store.KeyInstances+m.instance.Name, store.Entry{
-		Born:    m.startedAt.UnixMilli(),
-		Address: m.instance.Address,
-		Info:    store.EntryInfo{Service: m.service, Zone: m.zone, Slots: instanceSlots},
-		Status:  store.EntryStatus{State: state, Sequence: 1, ColdRemainingMs: coldFor.Milliseconds()},
+		StartedMillis: m.startedAt.UnixMilli(),
+		Address:       m.instance.Address,
+		Info:          store.EntryInfo{Service: m.service, Zone: m.zone, Slots: instanceSlots},
+		Status:        store.EntryStatus{State: state, Sequence: 1, ColdRemainingMs: coldFor.Milliseconds()},
 	})
 }
 
--- a/internal/bench/storesoak/links.go
+++ b/internal/bench/storesoak/links.go
@@ -31,27 +31,27 @@
 	return int64(l.slowest * factor * bytesPerMegabit)
 }
 
-// linkProxy is a fault proxy on a link with a rate limit. Its silencer can make all open
+// linkProxy is a fault proxy on a link with a rate limit. Its stalling proxy can make all open
 // connections fall silent.
 type linkProxy struct {
 	*faultproxy.Proxy
-	silencer *faultproxy.Silencer
+	stalling *faultproxy.StallingProxy
 	rate     int64
 }
 
-// newLinkProxy starts a proxy at listen that forwards to upstream through a silencer at
-// silencerListen.
-func newLinkProxy(name, listen, silencerListen, upstream string, rate int64) (*linkProxy, error) {
-	silencer, err := faultproxy.NewSilencer(silencerListen, upstream, nil)
+// newLinkProxy starts a proxy at listen that forwards to upstream through a stalling proxy at
+// stallingListen.
+func newLinkProxy(name, listen, stallingListen, upstream string, rate int64) (*linkProxy, error) {
+	stalling, err := faultproxy.NewStallingProxy(stallingListen, upstream, nil)
 	if err != nil {
 		return nil, err
 	}
-	proxy, err := faultproxy.New(name, listen, silencer.Address())
+	proxy, err := faultproxy.New(name, listen, stalling.Address())
 	if err != nil {
-		silencer.Close()
+		stalling.Close()
 		return nil, err
 	}
-	created := &linkProxy{Proxy: proxy, silencer: silencer, rate: rate}
+	created := &linkProxy{Proxy: proxy, stalling: stalling, rate: rate}
 	return created, created.limitRate()
 }
 
@@ -79,5 +79,5 @@
 // close closes the proxy and its connections.
 func (l *linkProxy) close() {
 	l.Close()
-	l.silencer.Close()
+	l.stalling.Close()
 }
--- a/internal/configuration/changes.go
+++ b/internal/configuration/changes.go
@@ -4,11 +4,11 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// ChangeFleet applies changes to instances and evacuations that are newer than the document in
+// ApplyFleetChanges applies changes to instances and evacuations that are newer than the document in
 // force, without waiting for the document that contains them. That document may arrive a second
 // later while a large configuration is being transferred, and until then requests would still be
 // sent to instances that leave.
-func (a *Applier) ChangeFleet(changes []snapshot.Change) {
+func (a *Applier) ApplyFleetChanges(changes []snapshot.Change) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, change := range changes {
@@ -19,16 +19,16 @@
 	if a.plan == nil || len(added) == 0 && !retained {
 		return
 	}
-	a.restore.retained.Settle(a.plan.Document().Content(), &a.changes)
+	a.restore.retained.DropConfirmed(a.plan.Document().Content(), &a.changes)
 	a.applyFleet()
 }
 
 // applyFleet swaps in a snapshot of the current document with the pending changes and retained
-// statements applied to it. The caller must hold the mutex.
+// states applied to it. The caller must hold the mutex.
 func (a *Applier) applyFleet() {
 	previous := a.store.Current()
 	next := previous.WithChanges(a.plan.Document(), &a.changes, &a.restore.retained)
-	if !a.store.AdoptFleet(next.Following(previous)) {
+	if !a.store.AdoptFleet(next.WithPrevious(previous)) {
 		return // the next document contains these changes
 	}
 	current := a.store.Current()
--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -48,10 +48,10 @@
 	To   snapshot.Revision
 	// Age is the time since then.
 	Age time.Duration
-	// Retained is how many statements about instances and evacuations the node retains in place of
-	// the source's, and Left for how much longer at most.
-	Retained int
-	Left     time.Duration
+	// Retained is how many instance and evacuation states the node retains in place of the source's,
+	// and RetainedFor for how much longer at most.
+	Retained    int
+	RetainedFor time.Duration
 }
 
 // LastRestore returns the last restore of the source that this process saw, if any.
@@ -65,7 +65,7 @@
 	restore = *r.lastRestore
 	restore.Age = clock.Since(r.lastRestoreAt)
 	if restore.Retained = r.retained.Len(); restore.Retained > 0 {
-		restore.Left = max(r.retention-clock.Since(r.retainedSince), 0)
+		restore.RetainedFor = max(r.retention-clock.Since(r.retainedSince), 0)
 	}
 	return restore, true
 }
@@ -92,7 +92,7 @@
 		a.startRetention()
 	}
 	a.enterEpoch(document.Version().Revision)
-	a.restore.retained.Settle(document.Content(), &a.changes)
+	a.restore.retained.DropConfirmed(document.Content(), &a.changes)
 }
 
 // startRetention starts or restarts the retention of the state known now. The caller must hold the
@@ -102,8 +102,8 @@
 	r.retainedSince = clock.Now()
 	a.requestEvaluation()
 	if a.plan == nil {
-		r.retained = snapshot.Retain(r.epoch, snapshot.Content{}, snapshot.Ended{})
-		a.retainEarlierEpochs(a.changes.OfFormerEpochs(r.epoch))
+		r.retained = snapshot.Retain(r.epoch, snapshot.Content{}, snapshot.Removed{})
+		a.retainEarlierEpochs(a.changes.BeforeEpoch(r.epoch))
 		return
 	}
 	r.removals.expire(clock.Now())
@@ -131,8 +131,8 @@
 	return retained
 }
 
-// expireRetained drops retained statements whose time is over, and returns how long it is until the
-// next ones expire, if any are left. The caller must hold the mutex.
+// expireRetained drops retained instance and evacuation states that have expired, and returns the
+// time until the next ones expire, if any are left. The caller must hold the mutex.
 func (a *Applier) expireRetained() (left time.Duration, pending bool) {
 	r := &a.restore
 	if r.retainedSince.IsZero() {
@@ -142,7 +142,7 @@
 	case age < missingRetention:
 		return missingRetention - age, true
 	case age < r.retention:
-		a.dropRetained(r.retained.DropMissing)
+		a.dropRetained(r.retained.DropUnlisted)
 		return r.retention - age, true
 	default:
 		a.dropRetained(r.retained.Drop)
@@ -151,9 +151,9 @@
 	}
 }
 
-// dropRetained drops retained statements and puts the content of the source in force in their
-// place. drop gets that content and returns how many statements differed from it. The caller must
-// hold the mutex.
+// dropRetained drops retained states and puts the content of the source in force in their place.
+// drop gets that content and returns how many states differed from it. The caller must hold the
+// mutex.
 func (a *Applier) dropRetained(drop func(content snapshot.Content) int) {
 	if a.plan == nil {
 		return // nothing is in force
@@ -223,7 +223,7 @@
 	}
 }
 
-func (b *recentRemovals) list() (removed snapshot.Ended) {
+func (b *recentRemovals) list() (removed snapshot.Removed) {
 	for _, remembered := range b.instances {
 		removed.Instances = append(removed.Instances, remembered.instance)
 	}
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -41,7 +41,7 @@
 		}
 		return delivered
 	}
-	number := int(instance.Born-1)*3 + 1
+	number := int(instance.StartedMillis-1)*3 + 1
 	if instance.State == snapshot.InstanceDraining {
 		number++
 	}
@@ -60,7 +60,7 @@
 func (s *testSource) instance(name string) (snapshot.Instance, bool) {
 	step := lifecycleStepAt(s.steps[name])
 	instance := instanceOf(name, step.state)
-	instance.Born = step.born
+	instance.StartedMillis = step.born
 	return instance, step.state != ""
 }
 
@@ -77,7 +77,7 @@
 	if instance, listed := s.instance(name); listed {
 		s.changes = append(s.changes, snapshot.InstanceChange(s.revision, instance))
 	} else {
-		s.changes = append(s.changes, snapshot.InstanceGone(s.revision, name))
+		s.changes = append(s.changes, snapshot.InstanceRemoval(s.revision, name))
 	}
 }
 
@@ -152,7 +152,7 @@
 				case 2:
 					if len(source.changes) > 0 {
 						change := rapid.SampledFrom(source.changes).Draw(t, "change")
-						applier.ChangeFleet([]snapshot.Change{change})
+						applier.ApplyFleetChanges([]snapshot.Change{change})
 						if change.Revision <= applier.Current().Version().Revision {
 							continue // the document in force is newer
 						}
@@ -182,7 +182,7 @@
 	if change.Instance == nil {
 		return 0 // any process of that name may have ended; the snapshot shows which
 	}
-	number := int(change.Instance.Born-1)*3 + 1
+	number := int(change.Instance.StartedMillis-1)*3 + 1
 	if change.Instance.State == snapshot.InstanceDraining {
 		number++
 	}
@@ -218,8 +218,8 @@
 
 // TestRemovedInstanceListedInBackup: two instances were removed, one of them after it had started
 // to drain, and a backup from before lists both as ready. Nobody renews these entries, and the
-// platform drops them after three missed heartbeats, 4.5 s. When the node dropped what it retained
-// 2.5 s after the restore, both were in force again until then.
+// platform drops them after three missed heartbeats, 4.5 s. If the node drops what it retains before
+// that, both instances are in force again for the rest of that time.
 func TestRemovedInstanceListedInBackup(t *testing.T) {
 	const dropDelay = 3 * 1500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -228,7 +228,7 @@
 		defer stop()
 		left, gone, stays := instanceOf("i-1", snapshot.InstanceReady), instanceOf("i-2", snapshot.InstanceReady), instanceOf("i-3", snapshot.InstanceReady)
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 7), left, gone, stays)), qt.IsNil)
-		applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(1, 8), instanceOf("i-1", snapshot.InstanceDraining))})
+		applier.ApplyFleetChanges([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(1, 8), instanceOf("i-1", snapshot.InstanceDraining))})
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 9), stays)), qt.IsNil)
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 6), left, gone, stays)), qt.IsNil)
 		for range 10 {
@@ -256,7 +256,7 @@
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(1, 9))), qt.IsNil)
 		c.Assert(applier.Adopt(documentListing(c, snapshot.NewRevision(2, 6), lapsed)), qt.IsNil)
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.Lifecycle(""))
-		applier.ChangeFleet([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(2, 7), lapsed)})
+		applier.ApplyFleetChanges([]snapshot.Change{snapshot.InstanceChange(snapshot.NewRevision(2, 7), lapsed)})
 		c.Check(stateIn(applier, "i-1"), qt.Equals, snapshot.InstanceReady)
 	})
 }
@@ -280,12 +280,12 @@
 		restore, seen := applier.LastRestore()
 		c.Check(seen, qt.IsTrue)
 		c.Check(restore, qt.Equals, configuration.Restore{
-			From: before.Version(), To: snapshot.NewRevision(2, 6), Age: time.Second, Retained: 1, Left: 5 * time.Second,
+			From: before.Version(), To: snapshot.NewRevision(2, 6), Age: time.Second, Retained: 1, RetainedFor: 5 * time.Second,
 		})
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		restore, _ = applier.LastRestore()
-		c.Check([]any{restore.Age, restore.Retained, restore.Left}, qt.DeepEquals, []any{61 * time.Second, 0, time.Duration(0)})
+		c.Check([]any{restore.Age, restore.Retained, restore.RetainedFor}, qt.DeepEquals, []any{61 * time.Second, 0, time.Duration(0)})
 	})
 }
 
--- a/internal/dataplane/balance/balance.go
+++ b/internal/dataplane/balance/balance.go
@@ -48,7 +48,7 @@
 	// maxReportAge is the age up to which a load report is used.
 	maxReportAge = 2 * time.Second
 	// fullInstancePeriod is how long an instance of another zone that had no free slot is
-	// not tried again: when all instances are full, sending requests around helps nobody.
+	// not tried again: when all instances are full, further tries find no slot.
 	fullInstancePeriod = 250 * time.Millisecond
 	// forgetAfter is how long the state of an instance that is not chosen is kept.
 	forgetAfter = time.Minute
@@ -246,8 +246,8 @@
 // stateOf returns the state of an instance, updated with its current entry.
 func (b *Balancer) stateOf(instance *snapshot.Instance, now time.Time) *instanceState {
 	known := b.instances[instance.Name]
-	if known == nil || known.born < instance.Born {
-		known = &instanceState{slowdown: 1, lastPickedAt: now, born: instance.Born}
+	if known == nil || known.startedMillis < instance.StartedMillis {
+		known = &instanceState{slowdown: 1, lastPickedAt: now, startedMillis: instance.StartedMillis}
 		b.instances[instance.Name] = known
 	}
 	known.cold.Follow(*instance, now)
@@ -300,7 +300,7 @@
 		if report.Reason != hop.ReasonUnconfigured { // such a node does not know the state of its instance
 			known.cold.Report(report.ColdFor, now)
 		}
-		known.setReportedSlowdown(report.Speed, now)
+		known.setReportedSlowdown(report.SlowdownPercent, now)
 		b.serviceLoadOf(c.Instance.Service).record(report, now)
 		known.backlog, known.linkRate = report.Backlog, kibibyte*float64(report.LinkRate)
 	}
--- a/internal/dataplane/balance/instance_state.go
+++ b/internal/dataplane/balance/instance_state.go
@@ -32,10 +32,10 @@
 
 // instanceState is what the balancer knows about one instance.
 type instanceState struct {
-	// born is the start time of the process that this state describes. A process that
+	// startedMillis is the start time of the process that this state describes. A process that
 	// restarts under the same name gets a new state.
-	born        int64
-	outstanding int
+	startedMillis int64
+	outstanding   int
 	// reportedLoad is the load of the last report; outstandingAtReport is the number of
 	// requests that this node had in progress then.
 	reportedLoad, outstandingAtReport int
@@ -104,7 +104,7 @@
 // transferTime returns how long a body takes to the instance, including its wait for the
 // link.
 func (s *instanceState) transferTime(bytes int, now time.Time) time.Duration {
-	if s.linkRate <= 0 || bytes < transfer.LargeBody {
+	if s.linkRate <= 0 || bytes < transfer.MinQueuedBytes {
 		return 0
 	}
 	own := time.Duration(float64(bytes) / s.linkRate * float64(time.Second))
--- a/internal/dataplane/outbound/outbound.go
+++ b/internal/dataplane/outbound/outbound.go
@@ -19,13 +19,13 @@
 
 	"github.com/winchhead/winchhead/internal/dataplane/balance"
 	"github.com/winchhead/winchhead/internal/dataplane/budget"
+	"github.com/winchhead/winchhead/internal/dataplane/callerretry"
 	"github.com/winchhead/winchhead/internal/dataplane/hop"
 	"github.com/winchhead/winchhead/internal/dataplane/inbound"
 	"github.com/winchhead/winchhead/internal/dataplane/losses"
 	"github.com/winchhead/winchhead/internal/dataplane/mechanism"
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 	"github.com/winchhead/winchhead/internal/dataplane/repeats"
-	"github.com/winchhead/winchhead/internal/dataplane/returns"
 	"github.com/winchhead/winchhead/internal/snapshot"
 	"github.com/winchhead/winchhead/internal/suspects"
 )
@@ -60,8 +60,8 @@
 	Mechanisms mechanism.Set
 	// Budget limits the repeats of requests that start at this node.
 	Budget *budget.Accounts
-	// Suspects records the requests that may crash instances; nil: a new, empty ledger.
-	Suspects *suspects.Ledger
+	// Suspects records the requests that may crash instances; nil: a new, empty tracker.
+	Suspects *suspects.Tracker
 	Logger   logrus.FieldLogger
 	// Registerer registers the metrics; nil: they are not registered.
 	Registerer prometheus.Registerer
@@ -73,7 +73,7 @@
 	balancer      *balance.Balancer
 	sidecars      sidecars
 	targets       targetSelector
-	callerRetries *returns.Tracker
+	callerRetries *callerretry.Tracker
 	losses        *losses.Ledger
 	repeatLedger  *repeats.Ledger
 	log           *requestLog
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	stopped, stop := context.WithCancel(context.Background())
 	created := &Proxy{
@@ -103,7 +103,7 @@
 		options:       options,
 		balancer:      balance.New(balance.Options{Zone: options.Zone, LocalAddress: options.Backend, Mechanisms: options.Mechanisms}),
 		sidecars:      newSidecarPools(options),
-		callerRetries: returns.New(),
+		callerRetries: callerretry.New(),
 		losses:        losses.New(options.Logger),
 		log:           newRequestLog(options.Logger),
 		metrics:       registered,
@@ -147,9 +147,9 @@
 const stoppingRetryAfter = time.Second
 
 // Serve answers one request of a caller.
-func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Answer {
-	if request.SenderGone() {
-		return &message.Answer{Abort: true}
+func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Response {
+	if request.IsClientGone() {
+		return &message.Response{Abort: true}
 	}
 	current := p.options.Snapshots.Current()
 	if current == nil {
@@ -188,12 +188,12 @@
 }
 
 // Refuse returns the answer to a request that the server could not accept.
-func (p *Proxy) Refuse(status int, reason string) *message.Answer {
+func (p *Proxy) Refuse(status int, reason string) *message.Response {
 	p.metrics.ended("", outcomeMalformed, 0)
 	return p.errorAnswer(nil, status, reason, 0)
 }
 
-func (p *Proxy) refuseUnconfigured(request *message.Request) *message.Answer {
+func (p *Proxy) refuseUnconfigured(request *message.Request) *message.Response {
 	p.metrics.ended("", outcomeNotRun, 0)
 	return p.errorAnswer(request, http.StatusServiceUnavailable, "the node holds no configuration yet", unconfiguredRetryAfter)
 }
@@ -233,7 +233,7 @@
 )
 
 // errorAnswer returns an answer made by the proxy itself.
-func (p *Proxy) errorAnswer(request *message.Request, status int, reason string, retryAfter time.Duration) *message.Answer {
+func (p *Proxy) errorAnswer(request *message.Request, status int, reason string, retryAfter time.Duration) *message.Response {
 	answer := message.Whole(status, nil, []byte(reason+"\n"))
 	answer.Header[headerContentType] = []string{plainText}
 	if request != nil && p.options.Names.RequestID != "" {
--- a/internal/dataplane/outbound/repeat.go
+++ b/internal/dataplane/outbound/repeat.go
@@ -13,15 +13,15 @@
 func (e *exchange) registerRequest() {
 	now := time.Now()
 	accounts := e.proxy.options.Budget
-	accounts.Listed(e.current.InstanceCount(), now)
-	e.repeatProbability = accounts.Request(e.service, !e.proxy.externalRoutes.has(e.route.Name), now)
+	accounts.SetInstanceCount(e.current.InstanceCount(), now)
+	e.repeatProbability = accounts.RecordRequest(e.service, !e.proxy.externalRoutes.has(e.route.Name), now)
 }
 
 // reserveRepeat takes a repeat from the budget, if that allows one. It is given back at the end
 // if it reached no instance.
 func (e *exchange) reserveRepeat() bool {
 	now := time.Now()
-	if !e.repeatReserved && !e.proxy.options.Budget.Repeat(e.service, now) {
+	if !e.repeatReserved && !e.proxy.options.Budget.ReserveRepeat(e.service, now) {
 		e.proxy.metrics.budgetEmpty.Inc()
 		e.proxy.repeatLedger.Stopped(e.service, now)
 		return false
@@ -34,7 +34,7 @@
 func (e *exchange) returnRepeat() {
 	if e.repeatReserved {
 		e.repeatReserved = false
-		e.proxy.options.Budget.Return(e.service, time.Now())
+		e.proxy.options.Budget.ReturnRepeat(e.service, time.Now())
 	}
 }
 
@@ -48,9 +48,9 @@
 // repeat.
 func (e *exchange) repeatHundredths() int {
 	if e.arrivals > 0 {
-		return hop.Certain
+		return hop.CertainRepeat
 	}
-	return min(int(math.Round(e.repeatProbability*hop.Certain)), hop.Certain-1)
+	return min(int(math.Round(e.repeatProbability*hop.CertainRepeat)), hop.CertainRepeat-1)
 }
 
 // recordArrival records a send that reached an instance, or may have.
--- a/internal/dataplane/server/admit_test.go
+++ b/internal/dataplane/server/admit_test.go
@@ -27,35 +27,35 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	created := server.New(server.Options{
-		Handler: handlerFunc(func(_ context.Context, request *message.Request) *message.Answer {
+		Handler: handlerFunc(func(_ context.Context, request *message.Request) *message.Response {
 			return message.Whole(http.StatusOK, nil, []byte(strconv.Itoa(len(request.Body))))
 		}),
 		Limits: func() server.Limits {
 			return server.Limits{MaxHeaderBytes: 4096, MaxBodyBytes: 1 << 20, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}
 		},
 		Admit:  admit,
-		Refuse: func(status int, reason string) *message.Answer { return message.Whole(status, nil, []byte(reason)) },
+		Refuse: func(status int, reason string) *message.Response { return message.Whole(status, nil, []byte(reason)) },
 	})
 	go func() { _ = created.Serve(listener) }()
 	t.Cleanup(created.Close)
 	pool := client.NewPool(client.Options{
 		Address: listener.Addr().String(), ConnectTimeout: time.Minute, IdleTimeout: time.Minute,
-		RunsWholeOnly: true, PaceHeader: paceHeader,
+		RunsOnlyComplete: true, PaceHeader: paceHeader,
 	})
 	t.Cleanup(pool.Close)
 	return pool
 }
 
-type handlerFunc func(ctx context.Context, request *message.Request) *message.Answer
+type handlerFunc func(ctx context.Context, request *message.Request) *message.Response
 
 // Serve calls the function.
-func (f handlerFunc) Serve(ctx context.Context, request *message.Request) *message.Answer {
+func (f handlerFunc) Serve(ctx context.Context, request *message.Request) *message.Response {
 	return f(ctx, request)
 }
 
 func upload(size int) *client.Request {
 	return &client.Request{
-		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: bytes.Repeat([]byte("x"), size), AskFirst: true,
+		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: bytes.Repeat([]byte("x"), size), ExpectContinue: true,
 	}
 }
 
@@ -65,12 +65,12 @@
 	ended := make(chan bool, 1)
 	pool := newAdmittingServer(t, func(_ context.Context, _ *message.Request, bytes int64) server.Admission {
 		c.Check(bytes, qt.Equals, int64(100_000))
-		return server.Admission{Interim: server.Interim(paceHeader, "100000000"), Done: func(whole bool) { ended <- whole }}
+		return server.Admission{Interim: server.InterimHeader(paceHeader, "100000000"), Release: func(whole bool) { ended <- whole }}
 	})
 	for range 2 { // on one connection
 		response, err := pool.Do(context.Background(), upload(100_000))
 		c.Assert(err, qt.IsNil)
-		body, whole, err := response.Hold()
+		body, whole, err := response.Buffer()
 		c.Assert(err, qt.IsNil)
 		c.Check(whole, qt.IsTrue)
 		c.Check(string(body), qt.Equals, "100000")
@@ -132,7 +132,7 @@
 	pool := newAdmittingServer(t, func(context.Context, *message.Request, int64) server.Admission {
 		close(admitted)
 		// So slow that the body never becomes complete.
-		return server.Admission{Interim: server.Interim(paceHeader, "1"), Done: func(whole bool) { ended <- whole }}
+		return server.Admission{Interim: server.InterimHeader(paceHeader, "1"), Release: func(whole bool) { ended <- whole }}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
--- a/internal/distribution/dispatch.go
+++ b/internal/distribution/dispatch.go
@@ -21,7 +21,7 @@
 	case *wire.Goodbye:
 		e.onGoodbye(l, m.Reason)
 	default:
-		e.faulty(l, "its first message was not a hello")
+		e.closeFaultyLink(l, "its first message was not a hello")
 	}
 }
 
@@ -34,8 +34,8 @@
 		e.noteOtherProtocol(node)
 		return
 	case node == e.options.Self.Node:
-		// The list has this node's address under another name, or gives its name to
-		// another process, of which the table must learn.
+		// The list has this node's address under another name, or has this node's name
+		// for another process. The record of that process must reach the table.
 		e.closeLink(l, wire.GoodbyeDuplicate)
 		e.overlay.peer(l.node).retryAt = e.now.Add(e.jittered(e.timing.RefusedWait))
 		e.mergeRecords([]membership.Record{hello.Self}, l.id)
@@ -72,7 +72,7 @@
 	case *wire.Goodbye:
 		e.onGoodbye(l, m.Reason)
 	default:
-		e.faulty(l, "it sent a message type that is not allowed on a link")
+		e.closeFaultyLink(l, "it sent a message type that is not allowed on a link")
 	}
 	if e.overlay.links[l.id] == l {
 		e.finishProbe(l)
--- a/internal/distribution/engine.go
+++ b/internal/distribution/engine.go
@@ -57,8 +57,8 @@
 	reading readingState
 	members membersState
 	start   startState
-	crashes *suspects.Book
-	changes changeBook
+	crashes *suspects.CrashRecords
+	changes changeCache
 }
 
 // NewEngine returns an engine that knows no node but its own.
@@ -81,8 +81,8 @@
 		outbox:  newOutbox(),
 		overlay: newOverlay(),
 		push:    newPushState(),
-		crashes: suspects.NewBook(),
-		changes: newChangeBook(),
+		crashes: suspects.NewCrashRecords(),
+		changes: newChangeCache(),
 	}
 }
 
@@ -161,7 +161,7 @@
 			wake = at
 		}
 	}
-	earlier(e.fleet.tellAt)
+	earlier(e.fleet.notifyAt)
 	earlier(e.outbox.flushAt)
 	earlier(e.overlay.maintainAt)
 	earlier(e.overlay.retrySuspectedAt)
@@ -170,7 +170,7 @@
 	}
 	e.push.deadlines(e, earlier)
 	e.reading.deadlines(earlier)
-	earlier(e.members.askAt)
+	earlier(e.members.nextRequestAt)
 	e.start.deadlines(e, earlier)
 	return wake
 }
--- a/internal/distribution/node_test.go
+++ b/internal/distribution/node_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/winchhead/winchhead/internal/distribution"
 	"github.com/winchhead/winchhead/internal/keys"
-	"github.com/winchhead/winchhead/internal/keys/throwaway"
+	"github.com/winchhead/winchhead/internal/keys/testcerts"
 	"github.com/winchhead/winchhead/internal/logging"
 	"github.com/winchhead/winchhead/internal/membership"
 	"github.com/winchhead/winchhead/internal/snapshot"
@@ -147,7 +147,7 @@
 // quickTiming returns the default timing with shorter waits for tests.
 func quickTiming() distribution.Timing {
 	timing := distribution.DefaultTiming()
-	timing.ColdWait = 50 * time.Millisecond
+	timing.MinStartWait = 50 * time.Millisecond
 	timing.DialTimeout = time.Second
 	return timing
 }
@@ -229,7 +229,7 @@
 			return known && member.Leaving && len(view.Members()) == len(nodes)
 		})
 	}
-	reports := nodes[1].AskAll(context.Background())
+	reports := nodes[1].QueryAll(context.Background())
 	c.Assert(reports, qt.HasLen, len(nodes))
 	for _, report := range reports {
 		c.Assert(report.Error, qt.Equals, "")
@@ -255,10 +255,10 @@
 }
 
 func TestInvalidPeersAreRejected(t *testing.T) {
-	authority, err := throwaway.NewAuthority()
+	authority, err := testcerts.NewAuthority()
 	qt.Assert(t, err, qt.IsNil)
 	trusted := nodeKeys(qt.New(t), authority).NodeConfig()
-	other, err := throwaway.NewAuthority()
+	other, err := testcerts.NewAuthority()
 	qt.Assert(t, err, qt.IsNil)
 	untrusted := nodeKeys(qt.New(t), other).NodeConfig()
 	untrusted.VerifyConnection = nil
@@ -298,8 +298,8 @@
 	}
 }
 
-func nodeKeys(c *qt.C, authority *throwaway.Authority) *keys.Keys {
-	pair, err := authority.Issue(throwaway.Request{Name: "node"})
+func nodeKeys(c *qt.C, authority *testcerts.Authority) *keys.Keys {
+	pair, err := authority.Issue(testcerts.Request{Name: "node"})
 	c.Assert(err, qt.IsNil)
 	loaded, err := keys.FromPEM(pair.Certificate, pair.Key, authority.Certificate())
 	c.Assert(err, qt.IsNil)
@@ -308,7 +308,7 @@
 
 func TestNodesLinkWithKeys(t *testing.T) {
 	c := qt.New(t)
-	authority, err := throwaway.NewAuthority()
+	authority, err := testcerts.NewAuthority()
 	c.Assert(err, qt.IsNil)
 	platform := newFakePlatform()
 	platform.document = document(1)
@@ -320,7 +320,7 @@
 		node.awaitVersion(c, document(1).Version())
 		node.awaitView(func(view *membership.View) bool { return len(view.Members()) == len(nodes) })
 	}
-	for _, report := range nodes[0].AskAll(context.Background()) {
+	for _, report := range nodes[0].QueryAll(context.Background()) {
 		c.Assert(report.Error, qt.Equals, "")
 	}
 }
--- a/internal/distribution/polling.go
+++ b/internal/distribution/polling.go
@@ -16,7 +16,7 @@
 	r.pollAt = time.Time{}
 	r.defersToLeader = false
 	after := max(e.push.heldVersion().Revision, r.head.Revision)
-	e.act(AwaitSource{Request: r.poll, After: after, Wait: e.pollWait(), Gather: e.changePollInterval()})
+	e.act(AwaitSource{Request: r.poll, After: after, Wait: e.pollWait(), MinInterval: e.changePollInterval()})
 }
 
 // pollWait returns how long the source may hold the next poll (long polling). After a poll
@@ -78,7 +78,7 @@
 	r := &e.reading
 	held := e.push.heldVersion()
 	e.reportConflict(version, "the source")
-	isStale := version.Revision < held.Revision.OfSource()
+	isStale := version.Revision < held.Revision.Unmarked()
 	if isStale && !r.staleLogged {
 		e.log(LogWarning, "the source is stale: it serves %s, but %s is in force", version, held)
 	}
@@ -140,8 +140,8 @@
 		r.confirmedAt = e.now
 	case outcome.Status == source.StatusBusy:
 		// The source works, and another reader would add to its load unless it rejects only
-		// this node. A reader with a long Retry-After resigns at once: when one that was told
-		// to wait 5 s did not, changes took up to 4.8 s (74 nodes, simulated).
+		// this node. A reader with a long Retry-After resigns at once: otherwise a
+		// Retry-After of 5 s delays changes by up to 4.8 s.
 		r.failures++
 		r.resigned = r.resigned || r.failures >= maxBusyAnswers || outcome.RetryAfter > e.timing.BackoffMin
 	default:
@@ -165,10 +165,10 @@
 
 // sourceRetryDelay returns how long to wait after a failed read of the source.
 func (e *Engine) sourceRetryDelay(outcome source.Outcome) time.Duration {
-	return e.readDelay(outcome, e.reading.failures)
+	return e.retryDelay(outcome, e.reading.failures)
 }
 
-// readDelay returns how long to wait after a number of failed reads in a row.
-func (e *Engine) readDelay(outcome source.Outcome, failures int) time.Duration {
+// retryDelay returns how long to wait after a number of failed reads in a row.
+func (e *Engine) retryDelay(outcome source.Outcome, failures int) time.Duration {
 	return min(outcome.RetryAfter, e.timing.RetryAfterMax) + e.backoff(failures, e.timing.BackoffMin, e.timing.BackoffMax)
 }
--- a/internal/distribution/reading.go
+++ b/internal/distribution/reading.go
@@ -12,8 +12,8 @@
 // minPollInterval is the lower bound of the interval after a poll that brings a new revision.
 const minPollInterval = 100 * time.Millisecond
 
-// never is the SourceAge of a node that knows of no answer from the source.
-const never = -1
+// unknownSourceAge is the SourceAge of a node that knows of no answer from the source.
+const unknownSourceAge = -1
 
 // readingState is the state of this node as a reader of the source.
 type readingState struct {
@@ -26,8 +26,8 @@
 	// stoppedReadingAt is when the node last stopped reading. If it becomes a reader again
 	// soon after, it resumes without delay, as after it took a version from a peer first.
 	stoppedReadingAt time.Time
-	// silenceAt is when a link to a group member last failed because the peer was silent.
-	silenceAt time.Time
+	// groupLinkSilentAt is when a link to a group member last failed because the peer was silent.
+	groupLinkSilentAt time.Time
 	// poll is the running AwaitSource, pollAt when to send the next one.
 	poll     RequestID
 	polledAt time.Time
@@ -96,7 +96,7 @@
 	if !current.inGroup(e.options.Self.Node) || !e.start.mayRead(e) {
 		return roleStandby
 	}
-	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.reading.silenceAt) < e.timing.StandInDelay
+	healthy, urgent := 0, e.push.held == nil || e.now.Sub(e.reading.groupLinkSilentAt) < e.timing.TakeOverDelay
 	for _, node := range current.group {
 		if node == e.options.Self.Node {
 			break
@@ -187,7 +187,7 @@
 	}
 }
 
-// updateRole starts or stops reading. It waits StandInDelay before it takes over from a reader
+// updateRole starts or stops reading. It waits TakeOverDelay before it takes over from a reader
 // that is gone: most of those are being restarted, and the source would get an additional
 // reader for each. A node whose StartSettle has just passed does not wait again, because no
 // other node reads yet in a fleet that starts.
@@ -200,10 +200,10 @@
 			r.stoppedReadingAt = e.now
 		}
 		r.startReadingAt = time.Time{}
-	case desired == roleReaderAtOnce || e.now.Sub(r.stoppedReadingAt) < e.timing.StandInDelay || e.start.justSettled(e):
+	case desired == roleReaderAtOnce || e.now.Sub(r.stoppedReadingAt) < e.timing.TakeOverDelay || e.start.justSettled(e):
 		r.startReadingAt = e.now
 	case r.startReadingAt.IsZero():
-		r.startReadingAt = e.now.Add(e.timing.StandInDelay)
+		r.startReadingAt = e.now.Add(e.timing.TakeOverDelay)
 	}
 	if reads := e.passed(r.startReadingAt); reads != r.active {
 		e.setReading(reads)
@@ -238,7 +238,7 @@
 // node reads the source.
 func (e *Engine) announceReading() {
 	for _, l := range e.overlay.order {
-		if l.lasting() && e.isStandingLink(l) {
+		if l.established() && e.isCoordinationLink(l) {
 			e.sendHeartbeat(l)
 		}
 	}
@@ -269,7 +269,7 @@
 // sourceAge returns how many milliseconds ago a reader last got an answer from the source.
 func (e *Engine) sourceAge() int64 {
 	if e.reading.confirmedAt.IsZero() {
-		return never
+		return unknownSourceAge
 	}
 	return e.now.Sub(e.reading.confirmedAt).Milliseconds()
 }
--- a/internal/distribution/restore_test.go
+++ b/internal/distribution/restore_test.go
@@ -42,8 +42,8 @@
 	actions := b.engine.Handle(now, event)
 	for i, action := range actions {
 		if send, ok := action.(distribution.Send); ok && send.Type == wire.TypeHello {
-			send.Frame = changed(send.Frame, func(hello *wire.Hello) {
-				if hello.Purpose.TakesOrigins() {
+			send.Frame = withChangedHello(send.Frame, func(hello *wire.Hello) {
+				if hello.Purpose.AcceptsOrigins() {
 					hello.Purpose = wire.PurposeLinkWithChanges
 				}
 			})
@@ -84,7 +84,7 @@
 			f.Platform.SetDown(false)
 			kept, err := f.Platform.Restore(numberedDocument(snapshot.NewRevision(2, 30), 17, "i-1", "i-2"))
 			c.Assert(err, qt.IsNil)
-			c.Assert(kept.Version().Revision.IsKeeping(), qt.IsTrue)
+			c.Assert(kept.Version().Revision.KeepsConfiguration(), qt.IsTrue)
 			c.Assert(f.RunUntil(5*time.Second, holds(kept.Version())), qt.IsTrue, qt.Commentf("the restored source"))
 			f.Kill(f.Machines()[1])
 			f.Run(100 * time.Millisecond)
@@ -94,7 +94,7 @@
 			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("the configuration written again"))
 			f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 32), 21, "i-2"), "")
 			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("the next configuration"))
-			c.Check(f.Broken(), qt.HasLen, 0)
+			c.Check(f.Violations(), qt.HasLen, 0)
 		})
 	}
 }
@@ -128,7 +128,7 @@
 	f.Run(within)
 	f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 31), 20, "i-1", "i-2"), "")
 	c.Check(f.RunUntil(within, allHold), qt.IsTrue)
-	c.Check(f.Broken(), qt.HasLen, 0)
+	c.Check(f.Violations(), qt.HasLen, 0)
 }
 
 // TestUpgradeFromReadersWithoutEpochs checks that changes reach all nodes during an upgrade from a
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -6,9 +6,9 @@
 type Timing struct {
 	// HeartbeatInterval is the longest time without a frame on an ordinary link.
 	HeartbeatInterval time.Duration
-	// GroupHeartbeatInterval is the same for a standing link: one between nodes of a zone's
+	// CoordinationHeartbeatInterval is the same for a coordination link: one between nodes of a zone's
 	// reader group, or between readers that may lead.
-	GroupHeartbeatInterval time.Duration
+	CoordinationHeartbeatInterval time.Duration
 	// DigestInterval is the mean time between two digests on a link.
 	DigestInterval time.Duration
 	// RecordWindow is how long records are batched before they are sent.
@@ -35,13 +35,13 @@
 	// StartListWait is how long a node that gets no membership list, from the platform or a
 	// peer, waits before it reads the source without one.
 	StartListWait time.Duration
-	// ColdWait is the least time that a node which holds nothing waits before it trusts the
-	// source, even if its peers hold nothing either. In a fleet that starts together the list
-	// grows in that time, so that few nodes take themselves for readers.
-	ColdWait time.Duration
+	// MinStartWait is the minimum time that a node without a version waits before it accepts the
+	// source's version, even if its peers have none either. In a fleet that starts together the
+	// list grows in that time, so that few nodes become readers.
+	MinStartWait time.Duration
 	// StartSettle is how long after its start a node that holds a version leaves reading to
 	// others. In a fleet that starts together each list names few nodes, so that each node
-	// takes itself for a reader until it learns of the others over its links.
+	// would act as a reader until it learns of the others over its links.
 	StartSettle time.Duration
 	// RecheckWait is how long a node whose process was suspended waits for its peers to answer
 	// before it reads the source again.
@@ -52,9 +52,9 @@
 	// SourceGrace is how much later than SourceWait an answer may begin, and how long it may
 	// stall after that.
 	SourceGrace time.Duration
-	// StandInDelay is how long a node waits before it takes over from a reader whose process
+	// TakeOverDelay is how long a node waits before it takes over from a reader whose process
 	// is gone. A reader that fell silent or cannot read is replaced at once.
-	StandInDelay time.Duration
+	TakeOverDelay time.Duration
 	// FetchTimeout is how long the answer to a read of the document or the list may take to
 	// begin.
 	FetchTimeout time.Duration
@@ -88,8 +88,8 @@
 	// SuspectedRetry is the least time between two dials of suspected members.
 	SuspectedRetry time.Duration
 	// LateThreshold is how late a wake-up of the engine may be before the process counts as
-	// short of CPU time; for LateMemory after that it suspects no member.
-	LateThreshold, LateMemory time.Duration
+	// short of CPU time; for LatePeriod after that it suspects no member.
+	LateThreshold, LatePeriod time.Duration
 	// PauseThreshold is how late a wake-up may be before the process counts as having been
 	// suspended.
 	PauseThreshold time.Duration
@@ -102,44 +102,44 @@
 // DefaultTiming returns the default intervals.
 func DefaultTiming() Timing {
 	return Timing{
-		HeartbeatInterval:      5 * time.Second,
-		GroupHeartbeatInterval: 900 * time.Millisecond,
-		DigestInterval:         10 * time.Second,
-		RecordWindow:           50 * time.Millisecond,
-		ViewWindow:             50 * time.Millisecond,
-		ViewInterval:           300 * time.Millisecond,
-		AnnounceDelay:          30 * time.Millisecond,
-		PullTimeout:            400 * time.Millisecond,
-		DialTimeout:            6 * time.Second,
-		AnswerTime:             time.Second,
-		StartPeerWait:          2 * time.Second,
-		StartListWait:          20 * time.Second,
-		ColdWait:               time.Second,
-		RecheckWait:            2 * time.Second,
-		SourceWait:             2 * time.Second,
-		SourceGrace:            500 * time.Millisecond,
-		StandInDelay:           700 * time.Millisecond,
-		FetchTimeout:           10 * time.Second,
-		FreshnessLimit:         5 * time.Second,
-		FetchDelay:             150 * time.Millisecond,
-		FetchStagger:           40 * time.Millisecond,
-		FetchDelayMax:          1500 * time.Millisecond,
-		FollowerPollInterval:   minPollInterval,
-		LeaderPollInterval:     minPollInterval,
-		MembersWait:            20 * time.Second,
-		BackoffMin:             200 * time.Millisecond,
-		BackoffMax:             10 * time.Second,
-		RetryAfterMax:          time.Minute,
-		RedialMin:              200 * time.Millisecond,
-		RedialMax:              5 * time.Second,
-		RefusedWait:            30 * time.Second,
-		FaultWait:              30 * time.Second,
-		SuspectedRetry:         3 * time.Second,
-		LateThreshold:          300 * time.Millisecond,
-		LateMemory:             5 * time.Second,
-		PauseThreshold:         3 * time.Second,
-		ExpireInterval:         5 * time.Second,
-		UnneededLinkAge:        10 * time.Second,
+		HeartbeatInterval:             5 * time.Second,
+		CoordinationHeartbeatInterval: 900 * time.Millisecond,
+		DigestInterval:                10 * time.Second,
+		RecordWindow:                  50 * time.Millisecond,
+		ViewWindow:                    50 * time.Millisecond,
+		ViewInterval:                  300 * time.Millisecond,
+		AnnounceDelay:                 30 * time.Millisecond,
+		PullTimeout:                   400 * time.Millisecond,
+		DialTimeout:                   6 * time.Second,
+		AnswerTime:                    time.Second,
+		StartPeerWait:                 2 * time.Second,
+		StartListWait:                 20 * time.Second,
+		MinStartWait:                  time.Second,
+		RecheckWait:                   2 * time.Second,
+		SourceWait:                    2 * time.Second,
+		SourceGrace:                   500 * time.Millisecond,
+		TakeOverDelay:                 700 * time.Millisecond,
+		FetchTimeout:                  10 * time.Second,
+		FreshnessLimit:                5 * time.Second,
+		FetchDelay:                    150 * time.Millisecond,
+		FetchStagger:                  40 * time.Millisecond,
+		FetchDelayMax:                 1500 * time.Millisecond,
+		FollowerPollInterval:          minPollInterval,
+		LeaderPollInterval:            minPollInterval,
+		MembersWait:                   20 * time.Second,
+		BackoffMin:                    200 * time.Millisecond,
+		BackoffMax:                    10 * time.Second,
+		RetryAfterMax:                 time.Minute,
+		RedialMin:                     200 * time.Millisecond,
+		RedialMax:                     5 * time.Second,
+		RefusedWait:                   30 * time.Second,
+		FaultWait:                     30 * time.Second,
+		SuspectedRetry:                3 * time.Second,
+		LateThreshold:                 300 * time.Millisecond,
+		LatePeriod:                    5 * time.Second,
+		PauseThreshold:                3 * time.Second,
+		ExpireInterval:                5 * time.Second,
+		UnneededLinkAge:               10 * time.Second,
 	}
 }
 
--- a/internal/distribution/upkeep.go
+++ b/internal/distribution/upkeep.go
@@ -22,7 +22,7 @@
 	for i := len(order) - 1; i >= 0; i-- {
 		l := order[i]
 		d := e.distanceTo(l.zone, l.region)
-		if counts[d] <= wanted[d] || total <= leastLinks || !e.mayClose(l) {
+		if counts[d] <= wanted[d] || total <= minLinks || !e.mayClose(l) {
 			continue
 		}
 		if successor != nil && l.node == successor.Record.Node {
@@ -35,7 +35,7 @@
 }
 
 func (e *Engine) mayClose(l *link) bool {
-	return l.outgoing && l.lasting() && !e.isStandingLink(l) && e.now.Sub(l.openedAt) >= e.timing.UnneededLinkAge
+	return l.outgoing && l.established() && !e.isCoordinationLink(l) && e.now.Sub(l.openedAt) >= e.timing.UnneededLinkAge
 }
 
 // dialSuspected dials one random suspected member, so that the sides of a healed
--- a/internal/mirror/concurrent_watch_test.go
+++ b/internal/mirror/concurrent_watch_test.go
@@ -29,7 +29,7 @@
 		// bytesPerSecond makes the configuration take over a second.
 		bytesPerSecond = 100_000
 	)
-	gone, draining := snapshot.InstanceGone, snapshot.Lifecycle(snapshot.InstanceDraining)
+	gone, draining := snapshot.InstanceRemoval, snapshot.Lifecycle(snapshot.InstanceDraining)
 	for name, row := range map[string]struct {
 		write func(emulated *store.Store) snapshot.Revision
 		is    func(change snapshot.Change) bool
@@ -59,7 +59,7 @@
 			c := qt.New(t)
 			r := newHarness(t, timeout)
 			published := make(chan snapshot.Change, 100)
-			r.mirror.TellChanges(func(changes []snapshot.Change) {
+			r.mirror.OnChanges(func(changes []snapshot.Change) {
 				for _, change := range changes {
 					published <- change
 				}
@@ -113,7 +113,7 @@
 				var gone, draining, evacuated []string
 				m, err := mirror.New(mirror.Options{Store: emulated, Logger: logging.Discard(), Timeout: time.Minute})
 				c.Assert(err, qt.IsNil)
-				m.TellChanges(func(changes []snapshot.Change) {
+				m.OnChanges(func(changes []snapshot.Change) {
 					for _, change := range changes {
 						switch {
 						case change.Evacuated:
@@ -156,13 +156,13 @@
 }
 
 // TestNewInstancesComeWithTheDocument: a new ready instance is not published ahead of its document,
-// a changed one is. Otherwise, while 300 nodes start, each sends all instances to all others; the
-// traffic between zones then cost an additional 0.04 of a day's value.
+// a changed one is. Otherwise each of 300 starting nodes would send all instances to all others,
+// which costs much traffic between zones.
 func TestNewInstancesComeWithTheDocument(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
 	var published []string
-	r.mirror.TellChanges(func(changes []snapshot.Change) {
+	r.mirror.OnChanges(func(changes []snapshot.Change) {
 		for _, change := range changes {
 			published = append(published, fmt.Sprintf("%s %s", change.Key.Name, change.Instance.State))
 		}
@@ -185,11 +185,11 @@
 
 // TestNoConcurrentWatchBeforeFirstConfiguration: all nodes of a starting fleet read the large first
 // configuration at once. No change can take effect before it, so no node watches instances
-// concurrently; otherwise 80 nodes made about 800 calls to the store in three seconds.
+// concurrently; otherwise 80 nodes would make about 800 more calls to the store.
 func TestNoConcurrentWatchBeforeFirstConfiguration(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
-	r.mirror.TellChanges(func([]snapshot.Change) {})
+	r.mirror.OnChanges(func([]snapshot.Change) {})
 	var concurrentWatches atomic.Int64
 	r.store.SetFault(func(request *http.Request) store.Fault {
 		if prefix := request.URL.Query().Get("pathPrefix"); prefix != "" {
@@ -209,13 +209,13 @@
 }
 
 // TestManyInstancesAreNotALargeResponse: the entries of a hundred instances take no longer to
-// receive than concurrent watches would. When 295 starting nodes watched concurrently for such
-// responses, they made 1,100 calls to the store in two seconds.
+// receive than concurrent watches would, and 295 starting nodes that watch concurrently for such
+// responses would make about 1,100 calls to the store.
 func TestManyInstancesAreNotALargeResponse(t *testing.T) {
 	const instances = 100
 	c := qt.New(t)
 	r := newHarness(t, timeout)
-	r.mirror.TellChanges(func([]snapshot.Change) {})
+	r.mirror.OnChanges(func([]snapshot.Change) {})
 	r.store.Put("op/config", configuration(1, "a"))
 	first := r.follow(c, 0)
 	var concurrentWatches atomic.Int64
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -51,22 +51,22 @@
 	Name string
 	// Revision is the revision of the entry's last change, in the epoch in which it was read.
 	Revision snapshot.Revision
-	// Gone says that the entry was removed.
-	Gone bool
-	// Configuration, Instance or Evacuation is set according to Kind, unless Gone or Fault is set.
+	// Removed says that the entry was removed.
+	Removed bool
+	// Configuration, Instance or Evacuation is set according to Kind, unless Removed or Fault is set.
 	Configuration *Configuration
 	Instance      *snapshot.Instance
 	Evacuation    *snapshot.Evacuation
 	// Fault says why the entry cannot be used. An invalid configuration leaves the previous one in
 	// place; an invalid instance entry counts as a removed instance.
 	Fault error
-	// Unknown lists the values of the entry that the adapter does not recognize and replaced by a
+	// UnknownValues lists the values of the entry that the adapter does not recognize and replaced by a
 	// safe default.
-	Unknown []UnknownWord
+	UnknownValues []UnknownValue
 }
 
-// UnknownWord is an unrecognized value of a field of an entry.
-type UnknownWord struct{ Field, Word string }
+// UnknownValue is an unrecognized value of a field of an entry.
+type UnknownValue struct{ Field, Value string }
 
 // Page is a part of the store's content. Pages are not a consistent snapshot: each one shows the
 // store at its own revision At.
@@ -119,8 +119,8 @@
 	// Timeout is how long a response may take to begin, not counting the wait of a watch, and how
 	// long it may pause between bytes.
 	Timeout time.Duration
-	// NoGrace treats entries whose lease expired during a store outage as removed at once.
-	NoGrace bool
+	// DisableRecoveryGrace treats entries whose lease expired during a store outage as removed at once.
+	DisableRecoveryGrace bool
 	// Registerer registers the metrics; nil for none.
 	Registerer prometheus.Registerer
 }
@@ -189,11 +189,11 @@
 	return created, nil
 }
 
-// TellChanges sets the callback for changes of instances and evacuations; it must be called before
+// OnChanges sets the callback for changes of instances and evacuations; it must be called before
 // the first read. The callback gets changes as they are read, ahead of the document that contains
 // them, except new ready instances, and removals that are withheld after a store outage. It may
 // block, and is called from several goroutines.
-func (m *Mirror) TellChanges(onChanges func(changes []snapshot.Change)) { m.onChanges = onChanges }
+func (m *Mirror) OnChanges(onChanges func(changes []snapshot.Change)) { m.onChanges = onChanges }
 
 // AwaitRevision returns once the store has changed after the revision, the wait is over or the
 // context ends.
--- a/internal/proxy/inbound/exchange.go
+++ b/internal/proxy/inbound/exchange.go
@@ -24,8 +24,8 @@
 	upgrade          string          // protocol to switch to, or ""
 	body             *requestBody    // nil without a body
 	deadline         time.Time
-	informer         *forward.Informer
-	send             *forward.Send
+	informer         *forward.InformationalForwarder
+	send             *forward.SendAttempt
 	slot             *admission.Slot // nil until one is held
 	idempotencyState                 // state of a request with an Idempotency-Key
 
@@ -45,11 +45,11 @@
 	created := &exchange{
 		proxy: p, writer: w, request: r, body: body, route: route, deadline: deadline,
 		upgrade:  forward.UpgradeProtocol(r.Header),
-		informer: forward.NewInformer(w, r),
+		informer: forward.NewInformationalForwarder(w, r),
 		ctx:      ctx, cancel: cancel,
 	}
 	created.detachFromSender = context.AfterFunc(r.Context(), func() { cancel(context.Canceled) })
-	created.send = forward.NewSend(deadline, created.maySend)
+	created.send = forward.NewSendAttempt(deadline, created.maySend)
 	created.timer = time.AfterFunc(time.Until(deadline), created.expire)
 	return created
 }
@@ -76,7 +76,7 @@
 }
 
 func (e *exchange) deadlinePassed() bool {
-	return forward.TimeOver(e.ctx, e.deadline)
+	return forward.DeadlinePassed(e.ctx, e.deadline)
 }
 
 // end releases what the exchange holds.
@@ -160,7 +160,7 @@
 		// The transport writes the header after this call, so that the remaining time
 		// is accurate.
 		GotConn: func(info httptrace.GotConnInfo) {
-			remaining[0] = outcome.Remaining(e.deadline)
+			remaining[0] = outcome.FormatRemaining(e.deadline)
 			info.Conn.(*forward.Conn).Assign(e.send)
 		},
 		Got1xxResponse: e.informer.Pass,
@@ -175,17 +175,17 @@
 		result = outcome.Unknown
 	}
 	callerGone := e.request.Context().Err() != nil || senderGone(e.request)
-	problem := outcome.New(outcome.ReasonBroken, result, "")
+	problem := outcome.NewProblem(outcome.ReasonBroken, result, "")
 	switch {
 	case e.deadlinePassed():
-		problem = outcome.New(outcome.ReasonDeadline, result, "")
+		problem = outcome.NewProblem(outcome.ReasonDeadline, result, "")
 	case e.body.readError() != nil:
-		problem = outcome.New(outcome.ReasonBadRequest, result, "the body broke off")
+		problem = outcome.NewProblem(outcome.ReasonBadRequest, result, "the body broke off")
 	case callerGone:
 		return endedCallerGone
 	case result == outcome.NotRun:
 		e.proxy.observeConnectFailure(err)
-		problem = outcome.New(outcome.ReasonConnect, result, "")
+		problem = outcome.NewProblem(outcome.ReasonConnect, result, "")
 	}
 	return endedWithProblem(problem)
 }
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -88,7 +88,7 @@
 }
 
 func (e *exchange) send(endpoint membership.Endpoint) sendResult {
-	current := forward.NewSend(e.deadline, nil)
+	current := forward.NewSendAttempt(e.deadline, nil)
 	var result sendResult
 	request := e.newOutgoingRequest(current, endpoint, &result.reused)
 	result.response, result.err = e.proxy.transport.RoundTrip(request)
@@ -109,7 +109,7 @@
 
 // newOutgoingRequest returns the request to send to one instance. reused is set as
 // soon as the request has a connection.
-func (e *exchange) newOutgoingRequest(current *forward.Send, endpoint membership.Endpoint, reused *bool) *http.Request {
+func (e *exchange) newOutgoingRequest(current *forward.SendAttempt, endpoint membership.Endpoint, reused *bool) *http.Request {
 	header := e.header
 	if e.sends > 0 {
 		header = maps.Clone(header) // the previous round trip may still read its header
@@ -135,7 +135,7 @@
 		// The header is written after this call, so the time that it took to get
 		// the connection is not counted as remaining.
 		GotConn: func(info httptrace.GotConnInfo) {
-			remaining[0] = outcome.Remaining(e.deadline)
+			remaining[0] = outcome.FormatRemaining(e.deadline)
 			*reused = info.Reused
 			info.Conn.(*forward.Conn).Assign(current)
 		},
@@ -164,18 +164,18 @@
 	if e.body != nil {
 		switch failed := e.body.callerError(); {
 		case errors.Is(failed, errBodyTooLarge):
-			return outcome.New(outcome.ReasonTooLarge, result, "the body is too large")
+			return outcome.NewProblem(outcome.ReasonTooLarge, result, "the body is too large")
 		case failed != nil:
-			return outcome.New(outcome.ReasonBadRequest, result, "the body broke off")
+			return outcome.NewProblem(outcome.ReasonBadRequest, result, "the body broke off")
 		}
 	}
 	switch {
-	case forward.TimeOver(e.ctx, e.deadline):
-		return outcome.New(outcome.ReasonDeadline, result, "")
+	case forward.DeadlinePassed(e.ctx, e.deadline):
+		return outcome.NewProblem(outcome.ReasonDeadline, result, "")
 	case mayHaveRun:
-		return outcome.New(outcome.ReasonBroken, result, "")
+		return outcome.NewProblem(outcome.ReasonBroken, result, "")
 	default:
-		return outcome.New(outcome.ReasonConnect, result, "")
+		return outcome.NewProblem(outcome.ReasonConnect, result, "")
 	}
 }
 
--- a/internal/proxy/outbound/exchange.go
+++ b/internal/proxy/outbound/exchange.go
@@ -28,7 +28,7 @@
 	upgrade  string      // protocol that the caller asks to switch to, or ""
 	pin      *pin        // nil unless the request is bound to one instance
 	deadline time.Time
-	informer *forward.Informer
+	informer *forward.InformationalForwarder
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
@@ -53,7 +53,7 @@
 		proxy: p, writer: w, request: r, route: route, header: header,
 		upgrade: forward.UpgradeProtocol(r.Header), deadline: deadline,
 		ctx: ctx, cancel: cancel,
-		informer: forward.NewInformer(w, r),
+		informer: forward.NewInformationalForwarder(w, r),
 	}
 	created.timer = time.AfterFunc(time.Until(deadline), created.expire)
 	key := r.Header.Get(outcome.HeaderIdempotencyKey)
@@ -105,7 +105,7 @@
 	e.ended = true
 	if e.body != nil && e.body.unread() {
 		e.body.stop()
-		forward.BoundUnread(e.writer)
+		forward.LimitUnreadBody(e.writer)
 	}
 }
 
@@ -113,7 +113,7 @@
 func (e *exchange) beginResponse() {
 	e.informer.Stop()
 	if e.body != nil && e.body.unread() {
-		forward.CloseAfterAnswer(e.writer)
+		forward.CloseAfterResponse(e.writer)
 	}
 }
 
@@ -129,9 +129,9 @@
 func (e *exchange) run() completion {
 	e.proxy.budgets.forService(e.service).Deposit()
 	if time.Until(e.deadline) <= 0 {
-		return e.respondWithProblem(outcome.New(outcome.ReasonDeadline, outcome.NotRun, ""))
+		return e.respondWithProblem(outcome.NewProblem(outcome.ReasonDeadline, outcome.NotRun, ""))
 	}
-	last := outcome.New(outcome.ReasonNoInstance, outcome.NotRun, "service "+e.service)
+	last := outcome.NewProblem(outcome.ReasonNoInstance, outcome.NotRun, "service "+e.service)
 	for {
 		choice, problem := e.pickInstance()
 		if problem != nil {
@@ -229,7 +229,7 @@
 	e.informer.Stop()
 	if e.body != nil && e.body.unread() {
 		e.body.stop()
-		e.body.setEnded(forward.SettleUnread(e.writer, e.request))
+		e.body.setEnded(forward.DiscardUnreadBody(e.writer, e.request))
 	}
 	problem.Write(e.writer)
 	return completionOf(problem)
--- a/internal/snapshot/change_test.go
+++ b/internal/snapshot/change_test.go
@@ -13,14 +13,14 @@
 func TestChangeRoundTrip(t *testing.T) {
 	for name, change := range map[string]Change{
 		"listed":           InstanceChange(7, testInstance("i-1", InstanceDraining)),
-		"gone":             InstanceGone(8, "i-1"),
+		"gone":             InstanceRemoval(8, "i-1"),
 		"evacuated":        EvacuationChange(9, "z", true),
 		"evacuation ended": EvacuationChange(10, "z", false),
 	} {
 		t.Run(name, func(t *testing.T) {
 			resource, err := change.Resource()
 			qt.Assert(t, err, qt.IsNil)
-			again, err := ChangeOf(change.Revision, resource)
+			again, err := DecodeChange(change.Revision, resource)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, again, qt.DeepEquals, change)
 		})
@@ -44,7 +44,7 @@
 		"body of other kind": {7, Resource{Key: Key{Kind: KindEvacuation, Name: "i-1"}, Body: listed.Body}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := ChangeOf(row.revision, row.resource)
+			_, err := DecodeChange(row.revision, row.resource)
 			qt.Check(t, err, qt.IsNotNil)
 		})
 	}
@@ -64,8 +64,8 @@
 	added := changes.Add([]Change{
 		InstanceChange(12, testInstance("i-1", InstanceDraining)),
 		InstanceChange(11, testInstance("i-1", InstanceReady)), // arrives late
-		InstanceGone(11, "i-2"),
-		InstanceGone(10, "i-3"), // already included in the document
+		InstanceRemoval(11, "i-2"),
+		InstanceRemoval(10, "i-3"), // already included in the document
 		InstanceChange(13, testInstance("i-4", InstanceReady)),
 		InstanceChange(13, foreign),
 		EvacuationChange(11, "y", false),
@@ -80,9 +80,9 @@
 	qt.Check(t, content.Instances, qt.HasLen, 3)
 	qt.Check(t, changes.removedAfter(content.Revision), qt.DeepEquals, map[string]Revision{"i-2": 11})
 
-	changes.DropUpTo(12)
+	changes.DropThrough(12)
 	qt.Check(t, changes.Len(), qt.Equals, 2)
-	changes.DropUpTo(13)
+	changes.DropThrough(13)
 	content.Revision = 13
 	qt.Check(t, changes.Apply(content).Instances, qt.DeepEquals, content.Instances)
 }
--- a/internal/snapshot/fleet.go
+++ b/internal/snapshot/fleet.go
@@ -72,7 +72,7 @@
 }
 
 // WithChanges returns a snapshot with the same routes, services and secrets for a document. Its
-// instances and evacuations are those of the document, with later changes and retained statements
+// instances and evacuations are those of the document, with later changes and retained states
 // applied.
 func (s *Snapshot) WithChanges(document *Document, changes *Changes, retained *Retained) *Snapshot {
 	next := s.WithFleet(document.version, retained.Apply(changes.Apply(document.content)))
@@ -80,15 +80,15 @@
 	return next
 }
 
-// KnowsUpTo returns the revision up to which the snapshot reflects the state of an instance that it
+// KnownRevision returns the revision up to which the snapshot reflects the state of an instance that it
 // does not list.
-func (s *Snapshot) KnowsUpTo(name string) Revision {
+func (s *Snapshot) KnownRevision(name string) Revision {
 	return max(s.version.Revision, s.fleet.removed[name])
 }
 
-// Following returns the snapshot as the successor of a previous one, which may be nil, and counts
+// WithPrevious returns the snapshot as the successor of a previous one, which may be nil, and counts
 // the evacuations that have ended since.
-func (s *Snapshot) Following(previous *Snapshot) *Snapshot {
+func (s *Snapshot) WithPrevious(previous *Snapshot) *Snapshot {
 	if previous == nil {
 		return s
 	}
@@ -106,9 +106,9 @@
 	return &next
 }
 
-// ZoneReturns returns how many evacuations of a zone have ended while this process held a
+// EndedEvacuations returns how many evacuations of a zone have ended while this process held a
 // configuration. The zone's instances may have become cold each time.
-func (s *Snapshot) ZoneReturns(zone string) int { return s.fleet.endedEvacuations[zone] }
+func (s *Snapshot) EndedEvacuations(zone string) int { return s.fleet.endedEvacuations[zone] }
 
 // IsEvacuated reports whether the instances of a zone must not receive requests.
 func (s *Snapshot) IsEvacuated(zone string) bool { return s.fleet.evacuated[zone] }
@@ -123,8 +123,8 @@
 // the slice.
 func (s *Snapshot) Instances(service string) []Instance { return s.fleet.byService[service] }
 
-// HoldsAddress reports whether the named instance is listed and is the latest one at its address.
-func (s *Snapshot) HoldsAddress(name string) bool {
+// OwnsAddress reports whether the named instance is listed and is the latest one at its address.
+func (s *Snapshot) OwnsAddress(name string) bool {
 	instance, listed := s.fleet.byName[name]
 	return listed && s.fleet.byAddress[instance.Address].Name == name
 }
--- a/internal/snapshot/retained.go
+++ b/internal/snapshot/retained.go
@@ -7,7 +7,7 @@
 
 // Retained holds what was known of instances and evacuations when the source was restored from a
 // backup of itself. The backup may lack the latest acknowledged writes, or contain what was removed
-// since. A retained statement takes precedence over the source until the source has an equally late
+// since. A retained state takes precedence over the source until the source has an equally late
 // state for the same name, or until the owner drops it. The zero value is empty.
 type Retained struct {
 	// epoch is the epoch of the source after it was restored.
@@ -26,7 +26,7 @@
 
 // Retain returns what is known when a source enters a new epoch: what was listed before, and what was
 // removed shortly before.
-func Retain(epoch uint64, listed Content, ended Ended) Retained {
+func Retain(epoch uint64, listed Content, ended Removed) Retained {
 	retained := Retained{epoch: epoch, instances: make(map[string]retainedInstance), evacuated: make(map[string]bool)}
 	for _, instance := range ended.Instances {
 		retained.instances[instance.Name] = retainedInstance{instance: instance, removed: true}
@@ -43,16 +43,16 @@
 	return retained
 }
 
-// Ended lists instances and evacuations that were removed.
-type Ended struct {
+// Removed lists instances and evacuations that were removed.
+type Removed struct {
 	Instances []Instance
 	Zones     []string
 }
 
-// Len returns the number of retained statements.
+// Len returns the number of retained states.
 func (r *Retained) Len() int { return len(r.instances) + len(r.evacuated) }
 
-// Drop drops all statements and returns how many of them the content contradicts.
+// Drop drops all retained states and returns how many of them the content contradicts.
 func (r *Retained) Drop(content Content) (contradicted int) {
 	listed := instancesByName(content.Instances)
 	for name, retained := range r.instances {
@@ -69,9 +69,9 @@
 	return contradicted
 }
 
-// DropMissing drops the statements about instances that the content does not list, and returns their
+// DropUnlisted drops the states of instances that the content does not list, and returns their
 // number.
-func (r *Retained) DropMissing(content Content) (dropped int) {
+func (r *Retained) DropUnlisted(content Content) (dropped int) {
 	listed := instancesByName(content.Instances)
 	maps.DeleteFunc(r.instances, func(name string, retained retainedInstance) bool {
 		_, isListed := listed[name]
@@ -98,15 +98,15 @@
 	default:
 		held, known := r.instances[name]
 		if !known {
-			held.instance = Instance{Name: name, Born: math.MaxInt64} // removes every process of that name
+			held.instance = Instance{Name: name, StartedMillis: math.MaxInt64} // removes every process of that name
 		}
 		r.instances[name] = retainedInstance{instance: held.instance, removed: true}
 	}
 }
 
-// Settle drops the statements that the restored source has caught up with, in the document in force
+// DropConfirmed drops the states that the restored source has caught up with, in the document in force
 // or in later changes.
-func (r *Retained) Settle(document Content, changes *Changes) {
+func (r *Retained) DropConfirmed(document Content, changes *Changes) {
 	if r.Len() == 0 {
 		return
 	}
@@ -137,12 +137,12 @@
 // supersedes reports whether the retained state is later than the listed instance of the name.
 func (r retainedInstance) supersedes(listed Instance) bool {
 	if r.removed {
-		return r.instance.Born >= listed.Born
+		return r.instance.StartedMillis >= listed.StartedMillis
 	}
 	return r.instance.Supersedes(listed)
 }
 
-// Apply returns the content with retained statements in place of what is older or missing.
+// Apply returns the content with retained states in place of what is older or missing.
 func (r *Retained) Apply(content Content) Content {
 	if r.Len() == 0 {
 		return content
--- a/internal/source/bad_answers_test.go
+++ b/internal/source/bad_answers_test.go
@@ -230,8 +230,8 @@
 		body string
 		err  string
 	}{
-		{"head without a revision", head, `{"hash":"` + hash + `"}`, ".*the head has no revision or no hash"},
-		{"head without a hash", head, `{"revision":2}`, ".*the head has no revision or no hash"},
+		{"head without a revision", head, `{"hash":"` + hash + `"}`, ".*the platform's current version has no revision or no hash"},
+		{"head without a hash", head, `{"revision":2}`, ".*the platform's current version has no revision or no hash"},
 		{"head with a short hash", head, `{"revision":2,"hash":"abab"}`, ".*malformed value.*"},
 		{"head with an unknown field", head, `{"revision":2,"hash":"` + hash + `","x":1}`, ".*unknown field.*"},
 		{"member without a name", members, `{"members":[{"state":"live"}]}`, ".*no node name"},
@@ -369,7 +369,7 @@
 			reader := newClient(c, url, timeoutFor(test.err))
 			held, err := emulator.Submit(snapshot.Policy{Name: "trips", Program: "# none"})
 			c.Assert(err, qt.IsNil)
-			emulator.Fail(platform.Scope{Service: platform.ServiceConfiguration}, test.fault)
+			emulator.SetFault(platform.Scope{Service: platform.ServiceConfiguration}, test.fault)
 			got, outcome := reader.Fetch(context.Background(), held)
 			c.Assert(outcome.Status, qt.Equals, test.status)
 			switch {
@@ -382,7 +382,7 @@
 			default:
 				c.Assert(got.Version().Conflicts(held), qt.IsTrue)
 			}
-			emulator.Mend()
+			emulator.ClearFaults()
 			_, outcome = newClient(c, url, longTimeout).Fetch(context.Background(), held)
 			c.Assert(outcome.Status, qt.Equals, source.StatusNotModified)
 		})
--- a/internal/suspects/benchmark_test.go
+++ b/internal/suspects/benchmark_test.go
@@ -5,22 +5,21 @@
 	"testing"
 )
 
-// BenchmarkAssess gives the cost per request while nothing is suspected (2 ns, an atomic load)
-// and while something is (1.0 us without a body, 50 us with a body of 64 KB, mostly hashing). The
-// figures are from a machine that was also busy with other work.
+// BenchmarkAssess gives the cost per request while nothing is suspected (an atomic load)
+// and while something is (mostly hashing of the body).
 func BenchmarkAssess(b *testing.B) {
 	for _, bytes := range []int{0, 64 << 10} {
 		for _, suspected := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d bytes, suspects %v", bytes, suspected), func(b *testing.B) {
-				ledger := NewLedger()
+				tracker := NewTracker()
 				if suspected {
-					ledger.Crashed("i", []InProgress{{Fingerprint: fingerprintOf("other")}})
+					tracker.Crashed("i", []InProgress{{Fingerprint: fingerprintOf("other")}})
 				}
 				body := make([]byte, bytes)
 				b.ReportAllocs()
 				for b.Loop() {
-					if !ledger.IsEmpty() {
-						ledger.Assess(Of("GET", "host.example", "/some/path/of/a/request", body))
+					if !tracker.IsEmpty() {
+						tracker.Assess(NewFingerprint("GET", "host.example", "/some/path/of/a/request", body))
 					}
 				}
 			})
--- a/internal/suspects/ledger.go
+++ b/internal/suspects/tracker.go
@@ -16,61 +16,61 @@
 	Probe bool
 }
 
-// Ledger holds the Book of one node and sends its changes to other nodes. It is safe for
+// Tracker holds the CrashRecords of one node and sends its changes to other nodes. It is safe for
 // concurrent use. While no request is suspected, a lookup costs one atomic load.
-type Ledger struct {
+type Tracker struct {
 	// publish sends records that changed on this node to other nodes.
 	publish func([]Crash)
 	now     func() time.Time
 
 	hasSuspects atomic.Bool
 	mutex       sync.Mutex
-	book        *Book
+	records     *CrashRecords
 }
 
-// NewLedger returns an empty Ledger that sends its changes nowhere.
-func NewLedger() *Ledger {
-	return &Ledger{publish: func([]Crash) {}, now: clock.Now, book: NewBook()}
+// NewTracker returns an empty Tracker that sends its changes nowhere.
+func NewTracker() *Tracker {
+	return &Tracker{publish: func([]Crash) {}, now: clock.Now, records: NewCrashRecords()}
 }
 
-// SpreadBy sets the function that sends records that change on this node to other nodes. It
-// must be called before the Ledger is used.
-func (l *Ledger) SpreadBy(publish func([]Crash)) { l.publish = publish }
+// PublishWith sets the function that sends records that change on this node to other nodes. It
+// must be called before the Tracker is used.
+func (t *Tracker) PublishWith(publish func([]Crash)) { t.publish = publish }
 
 // IsEmpty reports whether no request is suspected or quarantined.
-func (l *Ledger) IsEmpty() bool { return !l.hasSuspects.Load() }
+func (t *Tracker) IsEmpty() bool { return !t.hasSuspects.Load() }
 
 // Assess returns the standing of requests with the given fingerprint.
-func (l *Ledger) Assess(fingerprint Fingerprint) Assessment {
-	if l.IsEmpty() {
+func (t *Tracker) Assess(fingerprint Fingerprint) Assessment {
+	if t.IsEmpty() {
 		return Assessment{}
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.book.Assess(fingerprint, l.now())
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.records.Assess(fingerprint, t.now())
 }
 
 // Crashed records the crash of an instance with the requests that were running there, and
 // sends the record to other nodes.
-func (l *Ledger) Crashed(instance string, running []InProgress) {
-	l.mutex.Lock()
-	now := l.now()
+func (t *Tracker) Crashed(instance string, running []InProgress) {
+	t.mutex.Lock()
+	now := t.now()
 	crash := Crash{ID: CrashID(rand.Uint64()), Instance: instance, At: now}
-	probed := l.onlyProbe(running, now)
+	probed := t.onlyProbe(running, now)
 	for _, each := range running {
 		if len(crash.Requests) < MaxRequests && crash.find(each.Fingerprint) == nil {
 			crash.Requests = append(crash.Requests, Request{Fingerprint: each.Fingerprint, Probed: probed != nil && *probed == each.Fingerprint})
 		}
 	}
-	changed := l.book.Merge([]Crash{crash}, now)
-	l.hasSuspects.Store(!l.book.IsEmpty())
-	l.mutex.Unlock()
-	l.publish(changed)
+	changed := t.records.Merge([]Crash{crash}, now)
+	t.hasSuspects.Store(!t.records.IsEmpty())
+	t.mutex.Unlock()
+	t.publish(changed)
 }
 
 // onlyProbe returns the fingerprint that was being probed, or nil if there was none or another
 // suspected request ran beside it. The caller must hold mutex.
-func (l *Ledger) onlyProbe(running []InProgress, now time.Time) *Fingerprint {
+func (t *Tracker) onlyProbe(running []InProgress, now time.Time) *Fingerprint {
 	var probed *Fingerprint
 	for i := range running {
 		each := &running[i]
@@ -78,33 +78,33 @@
 		case probed != nil && *probed == each.Fingerprint:
 		case each.Probe && probed == nil:
 			probed = &each.Fingerprint
-		case each.Probe, l.book.Assess(each.Fingerprint, now).Standing != Clear:
+		case each.Probe, t.records.Assess(each.Fingerprint, now).Standing != Clear:
 			return nil
 		}
 	}
 	return probed
 }
 
-// Answered clears the fingerprint of a request that an instance answered.
-func (l *Ledger) Answered(fingerprint Fingerprint) {
-	if l.IsEmpty() {
+// Clear clears the fingerprint of a request that an instance answered.
+func (t *Tracker) Clear(fingerprint Fingerprint) {
+	if t.IsEmpty() {
 		return
 	}
-	l.mutex.Lock()
-	changed := l.book.Answered(fingerprint)
-	l.hasSuspects.Store(!l.book.IsEmpty())
-	l.mutex.Unlock()
+	t.mutex.Lock()
+	changed := t.records.Clear(fingerprint)
+	t.hasSuspects.Store(!t.records.IsEmpty())
+	t.mutex.Unlock()
 	if len(changed) > 0 {
-		l.publish(changed)
+		t.publish(changed)
 	}
 }
 
-// Learn merges records received from other nodes.
-func (l *Ledger) Learn(crashes []Crash) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.book.Merge(crashes, l.now())
-	l.hasSuspects.Store(!l.book.IsEmpty())
+// MergeRemote merges records received from other nodes.
+func (t *Tracker) MergeRemote(crashes []Crash) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.records.Merge(crashes, t.now())
+	t.hasSuspects.Store(!t.records.IsEmpty())
 }
 
 // Assessed is a fingerprint with its assessment.
@@ -114,15 +114,15 @@
 }
 
 // Assessed returns all fingerprints that are not clear, sorted.
-func (l *Ledger) Assessed() []Assessed {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.book.assessed(l.now())
+func (t *Tracker) Assessed() []Assessed {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.records.assessed(t.now())
 }
 
 // Count returns how many fingerprints have the given standing.
-func (l *Ledger) Count(standing Standing) (count int) {
-	for _, each := range l.Assessed() {
+func (t *Tracker) Count(standing Standing) (count int) {
+	for _, each := range t.Assessed() {
 		if each.Standing == standing {
 			count++
 		}
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -59,9 +59,9 @@
 	Purpose Purpose
 	// Interval has the meaning of Heartbeat.Interval.
 	Interval int64
-	// Group asks for a link between nodes that may read the source. Such links are
+	// CoordinationLink asks for a link between nodes that may read the source. Such links are
 	// accepted even above the limit of ordinary links.
-	Group bool
+	CoordinationLink bool
 }
 
 // Purpose is why a connection was opened.
@@ -81,11 +81,11 @@
 	PurposeLinkWithOrigins Purpose = 6
 )
 
-// TakesChanges reports whether the sender of a Hello accepts FleetChanges and frames in parts.
-func (p Purpose) TakesChanges() bool { return p == PurposeLinkWithChanges || p.TakesOrigins() }
+// AcceptsChanges reports whether the sender of a Hello accepts FleetChanges and frames in parts.
+func (p Purpose) AcceptsChanges() bool { return p == PurposeLinkWithChanges || p.AcceptsOrigins() }
 
-// TakesOrigins reports whether the sender of a Hello accepts the origins of configurations.
-func (p Purpose) TakesOrigins() bool { return p == PurposeLinkWithOrigins }
+// AcceptsOrigins reports whether the sender of a Hello accepts the origins of configurations.
+func (p Purpose) AcceptsOrigins() bool { return p == PurposeLinkWithOrigins }
 
 // Reading is whether a node reads the source.
 type Reading uint8
--- a/test/integration/faults_test.go
+++ b/test/integration/faults_test.go
@@ -148,7 +148,7 @@
 	}, backend.Behavior{Health: backend.HealthFailing}),
 	withBehavior(faultRow{
 		name: "load endpoint falsely reports full load", guarantee: guaranteeHealth, awaited: []load.Class{load.Answered},
-	}, backend.Behavior{LoadLie: &falseLoad}),
+	}, backend.Behavior{FalseLoad: &falseLoad}),
 	withFault(faultRow{
 		name: "back end stalled", guarantee: guaranteeWholeAnswer, timeout: shortTimeout,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut, load.Late, load.Rejected}, awaited: []load.Class{load.Unknown}, journal: ran,
@@ -194,8 +194,8 @@
 	},
 	{
 		name: "configuration source down", guarantee: guaranteeInForce,
-		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Platform.Outage() },
-		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Platform.Return() },
+		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Platform.BeginOutage() },
+		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Platform.EndOutage() },
 		awaited: []load.Class{load.Answered},
 	},
 }
@@ -234,7 +234,7 @@
 	})
 	calling.awaitSince(ctx, t, before, callsDuring, nil)
 	qt.Assert(t, row.end(ctx, running), qt.IsNil)
-	qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+	qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 	_, err := running.AwaitRevision(ctx, revision)
 	qt.Assert(t, err, qt.IsNil)
 	calling.awaitMore(ctx, t, callsBefore, answered)
