--- a/internal/bench/faultproxy/stalling_proxy.go
+++ b/internal/bench/faultproxy/stalling_proxy.go
@@ -29,7 +29,7 @@
 func NewStallingProxy(listen, upstream string, onForward func(chunk []byte)) (*StallingProxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		return nil, eris.Wrapf(err, "silencer: listen on %s", listen)
+		return nil, eris.Wrapf(err, "stalling proxy: listen on %s", listen)
 	}
 	if onForward == nil {
 		onForward = func([]byte) {}
--- a/internal/bench/storesoak/fleet.go
+++ b/internal/bench/storesoak/fleet.go
@@ -37,16 +37,16 @@
 	backups     backups
 }
 
-// ports are the same on all machines. The last two belong to the Silencers in front of the
-// inbound and peer listeners.
-type ports struct{ outbound, inbound, peers, application, ready, inboundSilencer, peersSilencer int }
+// ports are the same on all machines. The last two belong to the StallingProxies in front
+// of the inbound and peer listeners.
+type ports struct{ outbound, inbound, peers, application, ready, inboundStallingProxy, peersStallingProxy int }
 
 // newPorts picks all ports at once. A port that the system picked separately could already
 // be another one's on the same machine, whose node could then not start.
 func newPorts() (chosen ports, err error) {
 	wanted := []*int{
 		&chosen.outbound, &chosen.inbound, &chosen.peers, &chosen.application, &chosen.ready,
-		&chosen.inboundSilencer, &chosen.peersSilencer,
+		&chosen.inboundStallingProxy, &chosen.peersStallingProxy,
 	}
 	free, err := faultproxy.FreePorts("127.0.0.1", len(wanted))
 	if err != nil {
@@ -144,14 +144,14 @@
 		callers: fmt.Sprintf("%s:%d", listen, f.ports.outbound), ready: fmt.Sprintf("%s:%d", listen, f.ports.ready),
 	}
 	inbound, peers := fmt.Sprintf("%s:%d", listen, f.ports.inbound), fmt.Sprintf("%s:%d", listen, f.ports.peers)
-	inboundSilencer, peersSilencer := fmt.Sprintf("%s:%d", listen, f.ports.inboundSilencer), fmt.Sprintf("%s:%d", listen, f.ports.peersSilencer)
+	inboundStallingProxy, peersStallingProxy := fmt.Sprintf("%s:%d", listen, f.ports.inboundStallingProxy), fmt.Sprintf("%s:%d", listen, f.ports.peersStallingProxy)
 	proxiedPeers := fmt.Sprintf("%s:%d", proxied, f.ports.peers)
 	application := fmt.Sprintf("%s:%d", proxied, f.ports.application)
 	var err error
-	if m.data, err = newLinkProxy(fmt.Sprint("data-", number), fmt.Sprintf("%s:%d", proxied, f.ports.inbound), inboundSilencer, inbound, rate); err != nil {
+	if m.data, err = newLinkProxy(fmt.Sprint("data-", number), fmt.Sprintf("%s:%d", proxied, f.ports.inbound), inboundStallingProxy, inbound, rate); err != nil {
 		return nil, err
 	}
-	if m.peers, err = newLinkProxy(fmt.Sprint("peers-", number), proxiedPeers, peersSilencer, peers, rate); err != nil {
+	if m.peers, err = newLinkProxy(fmt.Sprint("peers-", number), proxiedPeers, peersStallingProxy, peers, rate); err != nil {
 		return nil, err
 	}
 	m.process = process.New(binary, []string{
--- a/internal/cli/progress.go
+++ b/internal/cli/progress.go
@@ -71,7 +71,9 @@
 	return assessed
 }
 
-// holds reports whether a member on which held is in force counts as holding revision.
+// holds reports whether a member on which held is in force has adopted revision. A held document
+// that keeps a newer configuration than the restored source has does not count, as the source's
+// own configuration is not in force.
 func holds(held, revision snapshot.Revision) bool {
 	return held >= revision && !held.KeepsConfiguration()
 }
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -37,8 +37,9 @@
 	// make more calls than the mean fail more often, because their calls may fail. Such
 	// a run makes 1.9 calls where the mean is 1.4.
 	failedCallFactor = 2
-	// maxInherited caps the probability that a call counts as made by a repeated run. It is
-	// below 1 because only sends that are repeats for sure may be refused.
+	// maxInherited caps the estimated probability that a call of the instance belongs to a
+	// repeated run (repeatShare). It is below 1 because Begin may refuse a request whose
+	// probability is 1, which must mean that an instance has certainly received it before.
 	maxInherited = 0.99
 	// minFanOut is the mean number of calls per run to a service below which they are ignored.
 	minFanOut = 0.02
@@ -62,8 +63,9 @@
 	listed slidingWindow
 	// runs counts the runs that the local instance has started.
 	runs slidingWindow
-	// activeFirsts is the number of first sends that the instance is processing, and
-	// activeRepeats that of repeats, weighted by the calls that they are expected to make.
+	// activeFirsts and activeRepeats are sums over the requests that the instance is processing.
+	// Each request adds 1 minus its probability of being a repeat to activeFirsts, and its
+	// callFactor to activeRepeats.
 	activeFirsts, activeRepeats float64
 }
 
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -49,8 +49,8 @@
 	MaxIdleNonRepeatable time.Duration
 	// LinkBytesPerSecond is the capacity of the machine's link; zero if not known.
 	LinkBytesPerSecond float64
-	// Budget limits the repeats of requests that start at this node, including the calls of
-	// the instance; nil means no limit.
+	// Budget limits the repeats of the requests that start at this node, which come from external
+	// callers and from the local instance; nil means no limit.
 	Budget *budget.Accounts
 	// Suspects records the requests that may crash instances; if it is nil, the Proxy keeps a
 	// ledger of its own.
--- a/internal/dataplane/outbound/order_test.go
+++ b/internal/dataplane/outbound/order_test.go
@@ -52,8 +52,9 @@
 	qt.Check(t, finalAttemptWait(100*ms, 50*ms, 0), qt.Equals, 100*ms)
 }
 
-// TestRetryAfter: callers retry when the next slot is free, or later the less chance they
-// would have then, and never so late that no time is left.
+// TestRetryAfter: callers are asked to retry when the next slot is free. As more new requests
+// are refused, they are asked to retry later, but early enough that time is left for the request.
+// The wait, before jitter, is always between minRetryAfterTime and maxRetryAfterTime.
 func TestRetryAfter(t *testing.T) {
 	for name, row := range map[string]struct {
 		nextSlot, left time.Duration
--- a/internal/distribution/restore_test.go
+++ b/internal/distribution/restore_test.go
@@ -100,7 +100,8 @@
 }
 
 // TestRestoreDuringUpgradeFromBuildWithoutOrigins checks a restore while half of the nodes run a
-// build without origins. Those adopt the configuration in the backup as a newer one; they stay in
+// build that does not know the Origin of a document (which configuration of the operators it has).
+// Those nodes can't tell that the configuration in the backup is older, and adopt it. They stay in
 // the fleet, and the next configuration reaches all nodes.
 func TestRestoreDuringUpgradeFromBuildWithoutOrigins(t *testing.T) {
 	const (
--- a/internal/policy/route.go
+++ b/internal/policy/route.go
@@ -25,7 +25,8 @@
 const (
 	maxTargets = 16
 	maxHeaders = 8
-	maxLimit   = 100_000
+	// maxRequestLimit is the highest value of max_in_flight and max_queued.
+	maxRequestLimit = 100_000
 )
 
 // routeArguments holds the unchecked arguments of route().
@@ -243,8 +244,8 @@
 		name  string
 		value int
 	}{{"max_in_flight", a.limits.MaxInFlight}, {"max_queued", a.limits.MaxQueued}} {
-		if limit.value < 0 || limit.value > maxLimit {
-			return problemf("use 0 for a route without a limit of its own", "%s %d is not between 0 and %d", limit.name, limit.value, maxLimit)
+		if limit.value < 0 || limit.value > maxRequestLimit {
+			return problemf("use 0 for a route without a limit of its own", "%s %d is not between 0 and %d", limit.name, limit.value, maxRequestLimit)
 		}
 	}
 	return nil
--- a/internal/snapshot/typed.go
+++ b/internal/snapshot/typed.go
@@ -57,8 +57,8 @@
 	Created Revision `json:"created,omitempty"`
 	// WarmUpMillis is how long the instance stays slow after its entry was first listed.
 	WarmUpMillis int64 `json:"warm_up_ms,omitempty"`
-	// StartedMillis is when the process started, in Unix milliseconds; zero if the source does not say,
-	// in which case it does not reuse names.
+	// StartedMillis is when the process started, in Unix milliseconds. It is zero if the source does not
+	// give it; such a source must never give the name of one instance to another.
 	StartedMillis int64 `json:"born,omitempty"`
 }
 
