--- a/internal/admin/suspects_test.go
+++ b/internal/admin/suspects_test.go
@@ -16,11 +16,11 @@
 // one of them.
 func TestSuspects(t *testing.T) {
 	c := qt.New(t)
-	ledger := suspects.NewLedger()
-	quarantined, bystander := suspects.Of("GET", "h", "/a", nil), suspects.Of("GET", "h", "/b", nil)
-	ledger.Crashed("i-1", []suspects.InProgress{{Fingerprint: quarantined}, {Fingerprint: bystander}})
+	tracker := suspects.NewTracker()
+	quarantined, bystander := suspects.NewFingerprint("GET", "h", "/a", nil), suspects.NewFingerprint("GET", "h", "/b", nil)
+	tracker.Crashed("i-1", []suspects.InProgress{{Fingerprint: quarantined}, {Fingerprint: bystander}})
 	node := newFakeNode(c)
-	server := httptest.NewServer(admin.New(admin.Options{Snapshots: node, Fleet: node, Status: node, Suspects: ledger,
+	server := httptest.NewServer(admin.New(admin.Options{Snapshots: node, Fleet: node, Status: node, Suspects: tracker,
 		Gatherer: prometheus.NewRegistry(), Logger: logging.Discard()}))
 	defer server.Close()
 	client := admin.NewClient(server.Listener.Addr().String())
@@ -30,7 +30,7 @@
 	c.Assert(list.Suspects, qt.HasLen, 2)
 	c.Check(list.Suspects[0].Standing, qt.Equals, "suspected")
 
-	ledger.Crashed("i-2", []suspects.InProgress{{Fingerprint: quarantined, Probe: true}})
+	tracker.Crashed("i-2", []suspects.InProgress{{Fingerprint: quarantined, Probe: true}})
 	list, err = client.Suspects(t.Context())
 	c.Assert(err, qt.IsNil)
 	c.Assert(list.Suspects, qt.HasLen, 1) // the probe explains the first crash, so the bystander is clear
@@ -41,10 +41,10 @@
 
 	_, err = client.ClearSuspect(t.Context(), "no fingerprint")
 	c.Check(err, qt.ErrorMatches, ".*400.*is no fingerprint.*")
-	_, err = client.ClearSuspect(t.Context(), suspects.Of("GET", "h", "/c", nil).String())
+	_, err = client.ClearSuspect(t.Context(), suspects.NewFingerprint("GET", "h", "/c", nil).String())
 	c.Check(err, qt.ErrorMatches, ".*404: nothing stands against.*")
 	_, err = client.ClearSuspect(t.Context(), quarantined.String())
 	c.Assert(err, qt.IsNil)
-	c.Check(ledger.Assess(quarantined).Standing, qt.Equals, suspects.Clear)
-	c.Check(ledger.Assess(bystander).Standing, qt.Equals, suspects.Suspected) // without the probe, nothing explains the first crash
+	c.Check(tracker.Assess(quarantined).Standing, qt.Equals, suspects.Clear)
+	c.Check(tracker.Assess(bystander).Standing, qt.Equals, suspects.Suspected) // without the probe, nothing explains the first crash
 }
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"github.com/winchhead/winchhead/internal/emulator/platform"
-	"github.com/winchhead/winchhead/internal/keys/throwaway"
+	"github.com/winchhead/winchhead/internal/keys/testcerts"
 	"github.com/winchhead/winchhead/internal/logging"
 	"github.com/winchhead/winchhead/internal/membership"
 	"github.com/winchhead/winchhead/internal/settings"
@@ -29,13 +29,13 @@
 	secretValue = "value-of-the-key"
 )
 
-// harness holds an emulated platform, a back end and nodes, all in this process.
+// harness holds an emulated platform, a backend and nodes, all in this process.
 type harness struct {
 	c        *qt.C
 	platform *platform.Platform
 	url      string
 	backend  *httptest.Server
-	// arrived receives the secret header of each request. The back end answers once hold
+	// arrived receives the secret header of each request. The backend answers once hold
 	// is closed.
 	arrived chan string
 	hold    chan struct{}
@@ -72,13 +72,13 @@
 
 // enableTLS gives all nodes keys of one certificate authority.
 func (r *harness) enableTLS() {
-	authority, err := throwaway.NewAuthority()
+	authority, err := testcerts.NewAuthority()
 	r.c.Assert(err, qt.IsNil)
 	r.tls, err = authority.WriteNode(r.c.TempDir(), "node")
 	r.c.Assert(err, qt.IsNil)
 }
 
-// sidecarSettings returns the settings of a node beside the back end.
+// sidecarSettings returns the settings of the sidecar of the backend.
 func (r *harness) sidecarSettings() settings.Settings {
 	beside := r.settings("centro-reservas")
 	beside.Inbound.Listen, beside.Inbound.Service = "127.0.0.1:0", "reservas"
--- a/internal/app/backendwatcher.go
+++ b/internal/app/backendwatcher.go
@@ -8,12 +8,12 @@
 	"github.com/winchhead/winchhead/internal/membership"
 )
 
-// backEndWatcher is an Applier that also watches the fleet for the first back end that
+// backEndWatcher is an Applier that also watches the fleet for the first backend that
 // accepts work. Without any, a node refuses all requests because no instance is available.
 type backEndWatcher struct {
 	*configuration.Applier
 	self membership.NodeID
-	// available is closed once a back end beside another node accepts work.
+	// available is closed once another node's backend accepts work.
 	available chan struct{}
 	once      sync.Once
 }
@@ -33,7 +33,7 @@
 	}
 }
 
-// hasAvailableBackEnd reports whether a back end beside another node accepts work.
+// hasAvailableBackEnd reports whether another node's backend accepts work.
 func (w *backEndWatcher) hasAvailableBackEnd(view *membership.View) bool {
 	for member := range view.All() {
 		if member.Record.Node != w.self && member.MayTakeWork() {
--- a/internal/app/container.go
+++ b/internal/app/container.go
@@ -40,7 +40,7 @@
 	Inbound   *inbound.Proxy
 	Claims    *claim.Memory
 	Dataplane *dataplane.Node
-	Suspects  *suspects.Ledger
+	Suspects  *suspects.Tracker
 	Admin     *admin.Server
 }
 
@@ -59,7 +59,7 @@
 		newSource,
 		newApplier,
 		newClaimReplica,
-		suspects.NewLedger,
+		suspects.NewTracker,
 		newDistribution,
 		newClaims,
 		newNodeReadiness,
@@ -138,7 +138,7 @@
 	Applier   *configuration.Applier
 	Adopter   *backEndWatcher
 	Replica   *claim.Replica
-	Suspects  *suspects.Ledger
+	Suspects  *suspects.Tracker
 	Changes   *fleetChanges
 }
 
@@ -177,9 +177,9 @@
 	if err != nil {
 		return nil, err
 	}
-	inputs.Suspects.SpreadBy(node.TellCrashes)
+	inputs.Suspects.PublishWith(node.SendCrashes)
 	if store, ok := inputs.Source.(storeReader); ok {
-		store.TellChanges(node.TellFleetChanges)
+		store.OnChanges(node.SendFleetChanges)
 	}
 	return node, nil
 }
@@ -194,8 +194,8 @@
 	return current.Generation()
 }
 
-// backEndDecidesReadiness reports whether the node is ready only while the back end
-// beside it is.
+// backEndDecidesReadiness reports whether the node is ready only while its
+// backend is.
 func backEndDecidesReadiness(opened *listeners, configured settings.Settings) bool {
 	return opened.inbound != nil && configured.Platform.Kind == settings.PlatformDocuments
 }
@@ -208,7 +208,7 @@
 
 func newNodeReadiness(node *distribution.Node, opened *listeners, configured settings.Settings) *readiness {
 	// A store lists the instances themselves, so the state that the node publishes
-	// doesn't depend on the instance beside it.
+	// doesn't depend on its instance.
 	return newReadiness(node, backEndDecidesReadiness(opened, configured))
 }
 
@@ -269,7 +269,7 @@
 	Settings settings.Settings
 	Applier  *configuration.Applier
 	Node     *distribution.Node
-	Suspects *suspects.Ledger
+	Suspects *suspects.Tracker
 	Registry *prometheus.Registry
 	Logger   logrus.FieldLogger
 }
--- a/internal/app/store.go
+++ b/internal/app/store.go
@@ -62,13 +62,13 @@
 	}
 	store := platform.NewStore(configured.Platform.URL, client.DialRemote)
 	followed, err := mirror.New(mirror.Options{
-		Store:      store,
-		Logger:     logging.Part(logger, "mirror"),
-		MemberOf:   sidecarOf(configured, regions),
-		Validate:   validateConfiguration,
-		Timeout:    configured.Platform.Timeout,
-		Registerer: registerer,
-		NoGrace:    !configured.Mechanisms.LapseGrace,
+		Store:                store,
+		Logger:               logging.Part(logger, "mirror"),
+		MemberOf:             sidecarOf(configured, regions),
+		Validate:             validateConfiguration,
+		Timeout:              configured.Platform.Timeout,
+		Registerer:           registerer,
+		DisableRecoveryGrace: !configured.Mechanisms.LapseGrace,
 	})
 	return storeReader{Mirror: followed, store: store}, err
 }
@@ -102,8 +102,8 @@
 	return regions, nil
 }
 
-// sidecarOf returns a function that returns the sidecar of an instance. The sidecar has
-// the instance's IP address, which is also its name, and the same ports on all machines.
+// sidecarOf returns a function that returns the sidecar of an instance. The sidecar is named
+// by the instance's IP address and listens on the same ports on all machines.
 func sidecarOf(configured settings.Settings, regions map[string]string) func(snapshot.Instance) (membership.ListedMember, bool) {
 	peerPort := outbound.PortOf(configured.Peers.Listen)
 	return func(instance snapshot.Instance) (membership.ListedMember, bool) {
@@ -126,12 +126,12 @@
 	}
 }
 
-// stopMargin is the part of the grace period that a planned stop keeps for its own
+// stopMargin is the part of the grace period that a graceful shutdown keeps for its own
 // cleanup.
 const stopMargin = 250 * time.Millisecond
 
-// drainTime returns how long a planned stop may wait for requests in progress. With a
-// store, the process is killed when the grace period ends, so the stop ends earlier.
+// drainTime returns how long a graceful shutdown may wait for requests in progress. With a
+// store, the process is killed when the grace period ends, so the shutdown ends earlier.
 func drainTime(configured settings.Settings) time.Duration {
 	grace := configured.Inbound.DrainGrace
 	if configured.Platform.Kind == settings.PlatformStore {
@@ -147,7 +147,7 @@
 	Settings   settings.Settings
 	Listeners  *listeners
 	Applier    *configuration.Applier
-	Suspects   *suspects.Ledger
+	Suspects   *suspects.Tracker
 	Logger     logrus.FieldLogger
 	Registerer prometheus.Registerer
 }
@@ -166,7 +166,7 @@
 		return nil, &SettingsError{Err: eris.New("platform.kind store needs outbound.listen, inbound.listen and inbound.service")}
 	}
 	return dataplane.New(dataplane.Options{
-		Names:     platform.Names(),
+		Names:     platform.HeaderNames(),
 		Snapshots: inputs.Applier,
 		Service:   configured.Inbound.Service,
 		Zone:      configured.Node.Zone,
--- a/internal/app/store_entries_test.go
+++ b/internal/app/store_entries_test.go
@@ -9,9 +9,9 @@
 
 // TestStoreEntriesOfOtherWriters writes invalid entries among those of the instances, as
 // another writer may. Such an entry names no instance: it must count as missing and leave
-// all others in force. An unreadable entry at an instance's key used to leave the instance
-// in use, and one without a service, or with an unknown service or state, took over the
-// address of a running instance, which then got no requests.
+// all others in force. An unreadable entry at an instance's key must take the instance out of
+// use, and one without a service, or with an unknown service or state, must not take over the
+// address of a running instance, which would then get no requests.
 func TestStoreEntriesOfOtherWriters(t *testing.T) {
 	c := qt.New(t)
 	r := newStoreHarness(t, []string{"front", "data", "data"}, nil)
@@ -20,7 +20,7 @@
 	isInForce := func() bool {
 		current := r.machines[0].node.Current()
 		_, listed := current.Instance("i-1")
-		return listed && current.HoldsAddress("i-1") && len(current.Instances("data")) == 2
+		return listed && current.OwnsAddress("i-1") && len(current.Instances("data")) == 2
 	}
 	c.Assert(isInForce(), qt.IsTrue)
 	for name, value := range map[string]string{
@@ -43,7 +43,7 @@
 			r.store.Put("servers/i-1", []byte(value))
 			r.awaitRevision(r.put(2, "ready"))
 			_, listed := r.machines[0].node.Current().Instance("i-1")
-			c.Check(listed && r.machines[0].node.Current().HoldsAddress("i-1"), qt.IsFalse)
+			c.Check(listed && r.machines[0].node.Current().OwnsAddress("i-1"), qt.IsFalse)
 			c.Check(r.machines[0].node.Current().Instances("data"), qt.HasLen, 1)
 			r.awaitRevision(r.put(1, "ready"))
 			c.Check(isInForce(), qt.IsTrue)
--- a/internal/app/store_silence_test.go
+++ b/internal/app/store_silence_test.go
@@ -13,20 +13,20 @@
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 )
 
-// startBehindProxies runs the nodes. Those beside instances of data get requests through
+// startBehindProxies runs the nodes. The sidecars of instances of data get requests through
 // the returned proxies. A proxy falls silent after the first report of progress.
-func (r *storeHarness) startBehindProxies() (proxies []*faultproxy.Silencer) {
+func (r *storeHarness) startBehindProxies() (proxies []*faultproxy.StallingProxy) {
 	for i, m := range r.machines {
 		configured := r.settings(i, r.url)
 		if m.service == "data" {
 			configured.Inbound.Listen = fmt.Sprintf("%s:%d", m.ip, freePorts(r.c, 1)[0])
 			var (
-				proxy *faultproxy.Silencer
+				proxy *faultproxy.StallingProxy
 				err   error
 			)
-			proxy, err = faultproxy.NewSilencer(fmt.Sprintf("%s:%d", m.ip, r.inbound), configured.Inbound.Listen, func(piece []byte) {
+			proxy, err = faultproxy.NewStallingProxy(fmt.Sprintf("%s:%d", m.ip, r.inbound), configured.Inbound.Listen, func(piece []byte) {
 				if bytes.Contains(piece, []byte("102 Processing")) {
-					proxy.FallSilent()
+					proxy.StallOpenConnections()
 				}
 			})
 			r.c.Assert(err, qt.IsNil)
@@ -41,7 +41,7 @@
 
 // TestStoreConnectionFallsSilentInARequest has the connection between two nodes fall silent
 // without a reset while an instance works on a request. Without reports of progress, the
-// request hung for all of its 5 s although another instance was free. The node reports
+// request would hang until its deadline although another instance is free. The node reports
 // progress every 0.4 s, and after a second without a report a request that may be repeated
 // is sent to another instance. One that may not be repeated is waited for and not resent.
 func TestStoreConnectionFallsSilentInARequest(t *testing.T) {
@@ -58,7 +58,7 @@
 			t.Parallel()
 			var mutex sync.Mutex
 			begun := false
-			var proxies []*faultproxy.Silencer
+			var proxies []*faultproxy.StallingProxy
 			r := newStoreHarness(t, []string{"front", "data", "data"}, func(_ int, emulated *instance.Instance) {
 				emulated.Work = func(_ string, gone <-chan struct{}) {
 					mutex.Lock()
@@ -68,7 +68,7 @@
 					if isFirst {
 						if row.runs == 1 { // no progress is requested, which would silence the proxies
 							for _, proxy := range proxies {
-								proxy.FallSilent()
+								proxy.StallOpenConnections()
 							}
 						}
 						<-gone
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -43,7 +43,7 @@
 	stepTimeout  = 10 * time.Second
 )
 
-// shortGrace is how long the planned stop of a node waits for requests.
+// shortGrace is how long the graceful shutdown of a node waits for requests.
 const shortGrace = 100 * time.Millisecond
 
 // Options configures a run of the demo.
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	r.printf("starting the platform, %d back ends and %d nodes over loopback TCP", len(r.mesh.Backends()), len(r.mesh.Nodes()))
-	if err := r.mesh.AwaitWhole(ctx); err != nil {
+	if err := r.mesh.AwaitComplete(ctx); err != nil {
 		return eris.Wrap(err, "not every node became ready and saw all instances")
 	}
 	r.printf("every node holds revision %d, which has no policy yet, and sees every instance", r.mesh.Platform.Version().Revision)
@@ -213,7 +213,7 @@
 
 func (r *run) audit(context.Context) error {
 	audit := r.caller.audit()
-	if !audit.Kept() {
+	if !audit.Passed() {
 		return eris.Errorf("the back ends' journals contradict the outcomes that callers got: %+v", audit)
 	}
 	r.printf("the back ends' journals agree: no request ran twice, none was lost and no refused request ran")
--- a/internal/bench/goodput/goodput.go
+++ b/internal/bench/goodput/goodput.go
@@ -48,9 +48,9 @@
 	Factors []float64
 	// Duration is the time for which each load is offered.
 	Duration time.Duration
-	// Depth is the number of back ends that one call passes, at least 1.
+	// Depth is the number of backends that one call passes, at least 1.
 	Depth int
-	// Work is how long each back end works on a call before its onward call.
+	// Work is how long each backend works on a call before its onward call.
 	Work time.Duration
 	// Timeout is the timeout of the callers.
 	Timeout time.Duration
@@ -131,7 +131,7 @@
 func offerLoads(ctx context.Context, running *mesh.Mesh, options Options, variant Variant, chain chain) (Curve, error) {
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := running.AwaitWhole(startCtx); err != nil {
+	if err := running.AwaitComplete(startCtx); err != nil {
 		return Curve{}, err
 	}
 	curve := Curve{Variant: variant.Name}
--- a/internal/bench/mesh/backend.go
+++ b/internal/bench/mesh/backend.go
@@ -5,7 +5,7 @@
 	"github.com/winchhead/winchhead/internal/emulator/backend"
 )
 
-// Backend is the emulated back end beside a node. Its journal is kept across Kill
+// Backend is the emulated backend of a sidecar. Its journal is kept across Kill
 // and Restart.
 type Backend struct {
 	*backend.Backend
@@ -23,5 +23,5 @@
 	return instance, instance.Restart()
 }
 
-// Restart starts the back end again after Kill or Close, at the same address.
+// Restart starts the backend again after Kill or Close, at the same address.
 func (b *Backend) Restart() error { return b.Start(b.address) }
--- a/internal/bench/storesoak/check.go
+++ b/internal/bench/storesoak/check.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/winchhead/winchhead/internal/bench/repeatjudge"
+	"github.com/winchhead/winchhead/internal/bench/repeatcheck"
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 	"github.com/winchhead/winchhead/internal/settings"
 )
@@ -22,39 +22,43 @@
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 
-	// Doubled are unsafe calls that ran more than once; RanRefused ran though they were refused
-	// as not executed.
-	Doubled    int `json:"doubled"`
+	// RanTwice are unsafe calls that ran more than once.
+	RanTwice int `json:"doubled"`
+	// RanRefused are unsafe calls that ran although they were refused as not executed.
 	RanRefused int `json:"ran_though_refused"`
 	// Wrong got a response that is not that of one of their own runs.
 	Wrong int `json:"wrong"`
-	// Untold were refused as not executed without a Retry-After header.
-	Untold int `json:"untold"`
-	// Unasked are runs that match no call that was sent, or ran at another service than that
+	// NoRetryAfter were refused as not executed without a Retry-After header.
+	NoRetryAfter int `json:"untold"`
+	// UnmatchedRuns are runs that match no call that was sent, or ran at another service than that
 	// of the route.
-	Unasked int `json:"unasked"`
-	// WentBack were handled with an older configuration than an earlier call to the same
+	UnmatchedRuns int `json:"unasked"`
+	// RolledBack were handled with an older configuration than an earlier call to the same
 	// process.
-	WentBack int `json:"went_back"`
+	RolledBack int `json:"went_back"`
 	// Invalid were handled in a way that no version of the configuration allows.
 	Invalid int `json:"handled_as_no_version_says"`
 	// Lost got no response because of planned maintenance.
 	Lost int `json:"lost"`
-	// FellOver are instances that were overloaded while they were cold.
-	FellOver int `json:"fell_over"`
-	// Crashes counts the crashes by requests that crash instances, AfterThirdCrash the arrivals
-	// of such a request settleTime after its third crash (the larger count of the two kinds),
-	// ShutOut the other calls that were refused as if they crashed instances.
-	Crashes         int `json:"crashes"`
+	// ColdOverloads are instances that were overloaded while they were cold.
+	ColdOverloads int `json:"fell_over"`
+	// Crashes counts the crashes by requests that crash instances.
+	Crashes int `json:"crashes"`
+	// AfterThirdCrash is how often such a request still reached instances when it had crashed
+	// three and the nodes had had time to learn of that. Reads and writes are counted
+	// separately; this is the larger count.
 	AfterThirdCrash int `json:"after_third_crash"`
-	ShutOut         int `json:"shut_out"`
-	// LateAnswers and LateChanges exceeded a time bound that no fault suspended.
+	// WronglyRefused are other calls that were refused as if they crashed instances.
+	WronglyRefused int `json:"shut_out"`
+	// LateAnswers got their response later than a time bound that no fault suspended.
 	LateAnswers int `json:"late_answers"`
+	// LateChanges were handled without a change although its time bound, which no fault
+	// suspended, had passed.
 	LateChanges int `json:"late_changes"`
 
-	// Withdrawals counts how often instances were to get no new requests, LateArrivals the
-	// requests that reached them later than allowed after that.
-	Withdrawals  int `json:"endings"`
+	// Withdrawals counts how often instances were to get no new requests.
+	Withdrawals int `json:"endings"`
+	// LateArrivals are the requests that reached instances later than allowed after a withdrawal.
 	LateArrivals int `json:"late_arrivals"`
 	// LastArrival is the time from a withdrawal to the last request, where no other fault
 	// suspended the time bound.
@@ -64,15 +68,17 @@
 	// machines that were not impaired meanwhile.
 	InForce Quantiles `json:"seconds_until_in_force"`
 
-	// Versions are the changes in order; ServedShare is the share of calls served in each second.
-	Versions    []VersionTimes `json:"versions"`
-	ServedShare []float64      `json:"served_share"`
+	// Versions are the configuration changes in order.
+	Versions []VersionTimes `json:"versions"`
+	// ServedShare is the share of calls served in each second.
+	ServedShare []float64 `json:"served_share"`
 
-	// Repeats is the largest used share of the retry bound in any window; above 1 it was exceeded.
-	Repeats float64 `json:"repeats"`
+	// RetryBoundShare is the largest used share of the retry bound in any window; above 1 the
+	// bound was exceeded.
+	RetryBoundShare float64 `json:"repeats"`
 
-	// Broken describes each violated guarantee; the soak passed only if it is empty.
-	Broken []string `json:"broken"`
+	// Violations describes each violated guarantee; the soak passed only if it is empty.
+	Violations []string `json:"broken"`
 }
 
 // VersionTimes holds the times of one configuration change in seconds.
@@ -123,7 +129,7 @@
 				continue
 			}
 			if sent := byID[id]; sent == nil || !each.matchesCall(sent, s.fleet) {
-				s.report.Unasked++
+				s.report.UnmatchedRuns++
 				s.violation("%s ran at %s as %s %s for caller %s, which matches no call that was sent", id, each.name, each.Method, each.Target, each.Caller)
 			}
 		}
@@ -182,10 +188,10 @@
 		return
 	}
 	configured := settings.Defaults().Retries
-	bound := repeatjudge.Bound{Ratio: configured.Ratio, Slack: configured.Slack, Window: configured.Window}
+	bound := repeatcheck.Bound{Ratio: configured.Ratio, Slack: configured.Slack, Window: configured.Window}
 	for _, service := range []string{serviceRead, serviceWrite} {
 		worst := s.fleet.nested.observed(service, calls[0].sent, calls).Worst(bound)
-		s.report.Repeats = max(s.report.Repeats, worst.Share)
+		s.report.RetryBoundShare = max(s.report.RetryBoundShare, worst.Share)
 		if worst.Share > 1 {
 			s.violation("service %s: %s", service, worst)
 		}
@@ -245,7 +251,7 @@
 	machine := s.fleet.machines[c.machine]
 	switch {
 	case c.kind == kindWrite && len(runs) > 1:
-		s.report.Doubled++
+		s.report.RanTwice++
 		s.violation("%s ran %d times", c.id, len(runs))
 	case c.kind == kindWrite && c.isRefused() && len(runs) > 0:
 		s.report.RanRefused++
@@ -261,7 +267,7 @@
 		s.violation("%s got no response because of planned maintenance of machine %d: %v", c.id, machine.number, c.err)
 	}
 	if c.status == http.StatusServiceUnavailable && c.stamp == "" && c.retryAfter == "" {
-		s.report.Untold++
+		s.report.NoRetryAfter++
 		s.violation("%s was refused without a Retry-After header", c.id)
 	}
 	limit := routeTimeoutMillis*time.Millisecond + responseTolerance
--- a/internal/bench/storesoak/fleet.go
+++ b/internal/bench/storesoak/fleet.go
@@ -37,16 +37,16 @@
 	backups     backups
 }
 
-// ports are the same on all machines. The last two belong to the Silencers in front of the
-// inbound and peer listeners.
-type ports struct{ outbound, inbound, peers, application, ready, inboundSilencer, peersSilencer int }
+// ports are the same on all machines. The last two belong to the StallingProxies in front
+// of the inbound and peer listeners.
+type ports struct{ outbound, inbound, peers, application, ready, inboundStallingProxy, peersStallingProxy int }
 
 // newPorts picks all ports at once. A port that the system picked separately could already
 // be another one's on the same machine, whose node could then not start.
 func newPorts() (chosen ports, err error) {
 	wanted := []*int{
 		&chosen.outbound, &chosen.inbound, &chosen.peers, &chosen.application, &chosen.ready,
-		&chosen.inboundSilencer, &chosen.peersSilencer,
+		&chosen.inboundStallingProxy, &chosen.peersStallingProxy,
 	}
 	free, err := faultproxy.FreePorts("127.0.0.1", len(wanted))
 	if err != nil {
@@ -144,14 +144,14 @@
 		callers: fmt.Sprintf("%s:%d", listen, f.ports.outbound), ready: fmt.Sprintf("%s:%d", listen, f.ports.ready),
 	}
 	inbound, peers := fmt.Sprintf("%s:%d", listen, f.ports.inbound), fmt.Sprintf("%s:%d", listen, f.ports.peers)
-	inboundSilencer, peersSilencer := fmt.Sprintf("%s:%d", listen, f.ports.inboundSilencer), fmt.Sprintf("%s:%d", listen, f.ports.peersSilencer)
+	inboundStallingProxy, peersStallingProxy := fmt.Sprintf("%s:%d", listen, f.ports.inboundStallingProxy), fmt.Sprintf("%s:%d", listen, f.ports.peersStallingProxy)
 	proxiedPeers := fmt.Sprintf("%s:%d", proxied, f.ports.peers)
 	application := fmt.Sprintf("%s:%d", proxied, f.ports.application)
 	var err error
-	if m.data, err = newLinkProxy(fmt.Sprint("data-", number), fmt.Sprintf("%s:%d", proxied, f.ports.inbound), inboundSilencer, inbound, rate); err != nil {
+	if m.data, err = newLinkProxy(fmt.Sprint("data-", number), fmt.Sprintf("%s:%d", proxied, f.ports.inbound), inboundStallingProxy, inbound, rate); err != nil {
 		return nil, err
 	}
-	if m.peers, err = newLinkProxy(fmt.Sprint("peers-", number), proxiedPeers, peersSilencer, peers, rate); err != nil {
+	if m.peers, err = newLinkProxy(fmt.Sprint("peers-", number), proxiedPeers, peersStallingProxy, peers, rate); err != nil {
 		return nil, err
 	}
 	m.process = process.New(binary, []string{
@@ -186,8 +186,8 @@
 	m.instance = created
 	m.startedAt = time.Now()
 	if coldFor > 0 {
-		created.SetMostPerSecond(coldOverloadPerSecond)
-		time.AfterFunc(coldFor, func() { created.SetMostPerSecond(0) })
+		created.SetMaxPerSecond(coldOverloadPerSecond)
+		time.AfterFunc(coldFor, func() { created.SetMaxPerSecond(0) })
 	}
 	f.register(m, store.StateReady, coldFor)
 	return nil
@@ -205,10 +205,10 @@
 // Callers hold the machine's mutex.
 func (f *fleet) register(m *machine, state string, coldFor time.Duration) {
 	f.store.PutJSON(store.KeyInstances+m.instance.Name, store.Entry{
-		Born:    m.startedAt.UnixMilli(),
-		Address: m.instance.Address,
-		Info:    store.EntryInfo{Service: m.service, Zone: m.zone, Slots: instanceSlots},
-		Status:  store.EntryStatus{State: state, Sequence: 1, ColdRemainingMs: coldFor.Milliseconds()},
+		StartedMillis: m.startedAt.UnixMilli(),
+		Address:       m.instance.Address,
+		Info:          store.EntryInfo{Service: m.service, Zone: m.zone, Slots: instanceSlots},
+		Status:        store.EntryStatus{State: state, Sequence: 1, ColdRemainingMs: coldFor.Milliseconds()},
 	})
 }
 
--- a/internal/bench/storesoak/nested.go
+++ b/internal/bench/storesoak/nested.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"github.com/winchhead/winchhead/internal/bench/repeatjudge"
+	"github.com/winchhead/winchhead/internal/bench/repeatcheck"
 	"github.com/winchhead/winchhead/internal/emulator/instance"
 )
 
@@ -57,7 +57,7 @@
 // attach records the arrivals at the instance of a machine, and makes instances of
 // serviceRead send nested calls while they work.
 func (n *nestedCalls) attach(emulated *instance.Instance, m *machine, work func(id string, gone <-chan struct{})) {
-	emulated.Arrived = func(id string) {
+	emulated.OnArrival = func(id string) {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		n.arrivals[id] = append(n.arrivals[id], arrival{m.service, time.Now()})
@@ -69,7 +69,7 @@
 		n.makeCalls(m, id, gone)
 		work(id, gone)
 	}
-	emulated.Judge = func(id string) instance.Fault {
+	emulated.FaultAfterWork = func(id string) instance.Fault {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		if n.failed[id] {
@@ -140,10 +140,10 @@
 // observed returns the requests that callers and instances sent to a service and its repeated
 // arrivals, with their times relative to since. All arrivals of nested calls that a retried
 // run made count as repeated.
-func (n *nestedCalls) observed(service string, since time.Time, calls []*call) repeatjudge.Seen {
+func (n *nestedCalls) observed(service string, since time.Time, calls []*call) repeatcheck.Observations {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var seen repeatjudge.Seen
+	var seen repeatcheck.Observations
 	for _, each := range calls {
 		if each.service() == service {
 			seen.Requests = append(seen.Requests, each.sent.Sub(since))
@@ -157,7 +157,7 @@
 	for id, arrivals := range n.arrivals {
 		for number, each := range arrivals {
 			if each.service == service && (number > 0 || n.calls[id].ofRetry) {
-				seen.Beyond = append(seen.Beyond, each.at.Sub(since))
+				seen.Repeats = append(seen.Repeats, each.at.Sub(since))
 			}
 		}
 	}
--- a/internal/bench/storesoak/storesoak_test.go
+++ b/internal/bench/storesoak/storesoak_test.go
@@ -25,9 +25,9 @@
 	}, {
 		Seed: 3, Machines: 12, Zones: 3, Routes: 20, Faults: 5, Rate: 60, CrashRate: 6, Cause: "requests that crash instances",
 	}, {
-		Seed: 4, Machines: 12, Zones: 3, Routes: 1000, SlowestLink: 10, Faults: 4, Rate: 100, LeaveRate: 1.5, Cause: "instances that are replaced during large configuration changes",
+		Seed: 4, Machines: 12, Zones: 3, Routes: 1000, SlowestLink: 10, Faults: 4, Rate: 100, ReplacementRate: 1.5, Cause: "instances that are replaced during large configuration changes",
 	}, {
-		Seed: 5, Machines: 12, Zones: 3, Routes: 200, Faults: 5, Rate: 100, LeaveRate: 1, RestoreShare: 0.6, Cause: "a store that is restored from a backup",
+		Seed: 5, Machines: 12, Zones: 3, Routes: 200, Faults: 5, Rate: 100, ReplacementRate: 1, RestoreShare: 0.6, Cause: "a store that is restored from a backup",
 	}}
 	for _, each := range storesoak.Regressions {
 		if each.Machines == storesoak.MinMachines { // the command replays the larger ones
@@ -43,19 +43,19 @@
 			c.Assert(err, qt.IsNil)
 			c.Logf("%+v", report)
 			c.Check(report.Served > 0, qt.IsTrue)
-			c.Check(report.Doubled, qt.Equals, 0)
+			c.Check(report.RanTwice, qt.Equals, 0)
 			c.Check(report.RanRefused, qt.Equals, 0)
 			c.Check(report.Wrong, qt.Equals, 0)
-			c.Check(report.Untold, qt.Equals, 0)
-			c.Check(report.Unasked, qt.Equals, 0)
-			c.Check(report.WentBack, qt.Equals, 0)
+			c.Check(report.NoRetryAfter, qt.Equals, 0)
+			c.Check(report.UnmatchedRuns, qt.Equals, 0)
+			c.Check(report.RolledBack, qt.Equals, 0)
 			c.Check(report.Invalid, qt.Equals, 0)
-			c.Check(report.FellOver, qt.Equals, 0)
-			c.Check(report.Repeats <= 1, qt.IsTrue)
+			c.Check(report.ColdOverloads, qt.Equals, 0)
+			c.Check(report.RetryBoundShare <= 1, qt.IsTrue)
 			c.Check(report.Crashes > 0, qt.Equals, each.CrashRate > 0)
 			c.Check(report.AfterThirdCrash <= 3, qt.IsTrue)
-			c.Check(report.ShutOut, qt.Equals, 0)
-			c.Check(report.Withdrawals > 0 || each.LeaveRate == 0, qt.IsTrue)
+			c.Check(report.WronglyRefused, qt.Equals, 0)
+			c.Check(report.Withdrawals > 0 || each.ReplacementRate == 0, qt.IsTrue)
 		})
 	}
 }
--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -49,9 +49,9 @@
 	// Age is the time since then.
 	Age time.Duration
 	// Retained is how many instance and evacuation states the node retains in place of the source's,
-	// and Left for how much longer at most.
-	Retained int
-	Left     time.Duration
+	// and RetainedFor for how much longer at most.
+	Retained    int
+	RetainedFor time.Duration
 }
 
 // LastRestore returns the last restore of the source that this process saw, if any.
@@ -65,7 +65,7 @@
 	restore = *r.lastRestore
 	restore.Age = clock.Since(r.lastRestoreAt)
 	if restore.Retained = r.retained.Len(); restore.Retained > 0 {
-		restore.Left = max(r.retention-clock.Since(r.retainedSince), 0)
+		restore.RetainedFor = max(r.retention-clock.Since(r.retainedSince), 0)
 	}
 	return restore, true
 }
@@ -92,7 +92,7 @@
 		a.startRetention()
 	}
 	a.enterEpoch(document.Version().Revision)
-	a.restore.retained.Settle(document.Content(), &a.changes)
+	a.restore.retained.DropConfirmed(document.Content(), &a.changes)
 }
 
 // startRetention starts or restarts the retention of the state known now. The caller must hold the
@@ -102,8 +102,8 @@
 	r.retainedSince = clock.Now()
 	a.requestEvaluation()
 	if a.plan == nil {
-		r.retained = snapshot.Retain(r.epoch, snapshot.Content{}, snapshot.Ended{})
-		a.retainEarlierEpochs(a.changes.OfFormerEpochs(r.epoch))
+		r.retained = snapshot.Retain(r.epoch, snapshot.Content{}, snapshot.Removed{})
+		a.retainEarlierEpochs(a.changes.BeforeEpoch(r.epoch))
 		return
 	}
 	r.removals.expire(clock.Now())
@@ -142,7 +142,7 @@
 	case age < missingRetention:
 		return missingRetention - age, true
 	case age < r.retention:
-		a.dropRetained(r.retained.DropMissing)
+		a.dropRetained(r.retained.DropUnlisted)
 		return r.retention - age, true
 	default:
 		a.dropRetained(r.retained.Drop)
@@ -223,7 +223,7 @@
 	}
 }
 
-func (b *recentRemovals) list() (removed snapshot.Ended) {
+func (b *recentRemovals) list() (removed snapshot.Removed) {
 	for _, remembered := range b.instances {
 		removed.Instances = append(removed.Instances, remembered.instance)
 	}
--- a/internal/dataplane/balance/instance_state.go
+++ b/internal/dataplane/balance/instance_state.go
@@ -32,10 +32,10 @@
 
 // instanceState is what the balancer knows about one instance.
 type instanceState struct {
-	// born is the start time of the process that this state describes. A process that
+	// startedMillis is the start time of the process that this state describes. A process that
 	// restarts under the same name gets a new state.
-	born        int64
-	outstanding int
+	startedMillis int64
+	outstanding   int
 	// reportedLoad is the load of the last report; outstandingAtReport is the number of
 	// requests that this node had in progress then.
 	reportedLoad, outstandingAtReport int
@@ -45,7 +45,7 @@
 	backlog  time.Duration
 	linkRate float64
 	// slowdown is the instance's service time divided by that of an average instance, as of
-	// slowdownUpdatedAt. slowdownReported says that the node beside the instance measured
+	// slowdownUpdatedAt. slowdownReported says that the instance's sidecar measured
 	// it, from the requests of all senders.
 	slowdown          float64
 	slowdownUpdatedAt time.Time
@@ -104,7 +104,7 @@
 // transferTime returns how long a body takes to the instance, including its wait for the
 // link.
 func (s *instanceState) transferTime(bytes int, now time.Time) time.Duration {
-	if s.linkRate <= 0 || bytes < transfer.LargeBody {
+	if s.linkRate <= 0 || bytes < transfer.MinQueuedBytes {
 		return 0
 	}
 	own := time.Duration(float64(bytes) / s.linkRate * float64(time.Second))
@@ -137,7 +137,7 @@
 	s.slowdown, s.slowdownUpdatedAt = min(max(current, minSlowdown), maxSlowdown), now
 }
 
-// setReportedSlowdown sets the slowdown that the node beside the instance measured, in
+// setReportedSlowdown sets the slowdown that the instance's sidecar measured, in
 // hundredths.
 func (s *instanceState) setReportedSlowdown(hundredths int, now time.Time) {
 	if hundredths <= 0 {
--- a/internal/dataplane/budget/budget.go
+++ b/internal/dataplane/budget/budget.go
@@ -29,16 +29,17 @@
 
 const (
 	// UsableShare is the fraction of a node's part of the bound that the node uses. The rest is
-	// a margin, because the share of repeated calls and the calls per run are estimates: the
-	// fleets of TestFleetKeepsTheBound use up to 0.9 of the bound.
+	// a margin, because the share of repeated calls and the calls per run are estimates:
+	// TestFleetKeepsTheBound uses up to 0.9 of the bound.
 	UsableShare = 0.8
 	// failedCallFactor is the number of calls made by a run whose request failed at an
-	// instance before, as a multiple of the mean of all runs. Requests that make calls fail
-	// more often, because their calls may fail: they make, for example, 1.9 calls where the
-	// mean is 1.4.
+	// instance before, as a multiple of the mean of all runs. It is an upper bound: requests that
+	// make more calls than the mean fail more often, because their calls may fail. Such
+	// a run makes 1.9 calls where the mean is 1.4.
 	failedCallFactor = 2
-	// maxInherited caps the probability that a call counts as made by a repeated run. It is
-	// below 1 because only sends that are repeats for sure may be refused.
+	// maxInherited caps the estimated probability that a call of the instance belongs to a
+	// repeated run (repeatShare). It is below 1 because Begin may refuse a request whose
+	// probability is 1, which must mean that an instance has certainly received it before.
 	maxInherited = 0.99
 	// minFanOut is the mean number of calls per run to a service below which they are ignored.
 	minFanOut = 0.02
@@ -62,8 +63,9 @@
 	listed slidingWindow
 	// runs counts the runs that the local instance has started.
 	runs slidingWindow
-	// activeFirsts is the number of first sends that the instance is processing, and
-	// activeRepeats that of repeats, weighted by the calls that they are expected to make.
+	// activeFirsts and activeRepeats are sums over the requests that the instance is processing.
+	// Each request adds 1 minus its probability of being a repeat to activeFirsts, and its
+	// callFactor to activeRepeats.
 	activeFirsts, activeRepeats float64
 }
 
@@ -82,18 +84,18 @@
 	a.options = options
 }
 
-// Listed records how many instances the node lists now.
-func (a *Accounts) Listed(instances int, now time.Time) {
+// SetInstanceCount records how many instances the node lists now.
+func (a *Accounts) SetInstanceCount(instances int, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.listed.advance(windowOf(now, a.options.Window))
 	a.listed.raiseTo(float64(instances))
 }
 
-// Request records a request for a service that starts at this node. isCall is set if the
+// RecordRequest records a request for a service that starts at this node. isCall is set if the
 // local instance sent it or may have sent it. The result is the probability, from 0 to 1,
 // that the request is a call made by a repeated run.
-func (a *Accounts) Request(service string, isCall bool, now time.Time) (inherited float64) {
+func (a *Accounts) RecordRequest(service string, isCall bool, now time.Time) (inherited float64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	found := a.accountOf(service, now)
@@ -108,9 +110,9 @@
 	return inherited
 }
 
-// Repeat reports whether the node's part of the bound allows a further send of a request to
+// ReserveRepeat reports whether the node's part of the bound allows a further send of a request to
 // a service, and counts the send if it does.
-func (a *Accounts) Repeat(service string, now time.Time) bool {
+func (a *Accounts) ReserveRepeat(service string, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	found := a.accountOf(service, now)
@@ -121,8 +123,8 @@
 	return true
 }
 
-// Return returns a repeat that reached no instance to the budget.
-func (a *Accounts) Return(service string, now time.Time) {
+// ReturnRepeat returns a repeat that reached no instance to the budget.
+func (a *Accounts) ReturnRepeat(service string, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.accountOf(service, now).repeats.add(-1)
--- a/internal/dataplane/budget/fleet_test.go
+++ b/internal/dataplane/budget/fleet_test.go
@@ -10,13 +10,13 @@
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
 
-	"github.com/winchhead/winchhead/internal/bench/repeatjudge"
+	"github.com/winchhead/winchhead/internal/bench/repeatcheck"
 	"github.com/winchhead/winchhead/internal/dataplane/budget"
 )
 
 // A simulation of a fleet with a simulated clock: each node has one instance, services call each
 // other in a chain of three, and the nodes make as many repeats as the package allows.
-// Package repeatjudge checks the sends against the bound.
+// Package repeatcheck checks the sends against the bound.
 
 // graph lists the services, each of which calls the next.
 var graph = []string{"first", "second", "third"}
@@ -63,7 +63,7 @@
 	events  eventHeap
 	nodes   []*fleetNode
 	nodesOf [3][]*fleetNode
-	seen    [3]repeatjudge.Seen
+	seen    [3]repeatcheck.Observations
 	repeats int
 }
 
@@ -132,8 +132,8 @@
 // if a repeated run does. The nodes do not know ofRepeat; it is only used to count repeats.
 func (f *fleet) request(node *fleetNode, service int, isCall, ofRepeat bool, done func(ok bool)) {
 	f.seen[service].Requests = append(f.seen[service].Requests, f.now.Sub(f.began))
-	node.accounts.Listed(f.listed(), f.now)
-	inherited := node.accounts.Request(graph[service], isCall, f.now)
+	node.accounts.SetInstanceCount(f.listed(), f.now)
+	inherited := node.accounts.RecordRequest(graph[service], isCall, f.now)
 	f.send(node, service, 0, budget.Repetition{Probability: inherited}, ofRepeat, done)
 }
 
@@ -143,16 +143,16 @@
 	at := f.nodesOf[service][f.random.IntN(len(f.nodesOf[service]))]
 	repeat := ofRepeat || sends > 0
 	if sends > 0 && !at.accounts.Fits(believed, f.now) { // refused by the instance's node
-		node.accounts.Return(graph[service], f.now)
+		node.accounts.ReturnRepeat(graph[service], f.now)
 		done(false)
 		return
 	}
 	if repeat {
-		f.seen[service].Beyond = append(f.seen[service].Beyond, f.now.Sub(f.began))
+		f.seen[service].Repeats = append(f.seen[service].Repeats, f.now.Sub(f.began))
 		f.repeats++
 	}
 	retry := func(failed bool) {
-		if sends+1 < maxSends && node.accounts.Repeat(graph[service], f.now) {
+		if sends+1 < maxSends && node.accounts.ReserveRepeat(graph[service], f.now) {
 			f.send(node, service, sends+1, budget.Repetition{Probability: 1, Failed: failed}, ofRepeat, done)
 			return
 		}
@@ -226,7 +226,7 @@
 func (f *fleet) check(t interface {
 	Errorf(format string, args ...any)
 }) (worst float64) {
-	bound := repeatjudge.Bound{Ratio: fleetBound.Ratio, Slack: fleetBound.Slack, Window: fleetBound.Window}
+	bound := repeatcheck.Bound{Ratio: fleetBound.Ratio, Slack: fleetBound.Slack, Window: fleetBound.Window}
 	for service, each := range f.seen {
 		found := each.Worst(bound)
 		if found.Share > 1 {
--- a/internal/dataplane/returns/returns.go
+++ b/internal/dataplane/callerretry/callerretry.go
@@ -1,8 +1,8 @@
-// Package returns learns from the requests of each route how its callers behave: how long
+// Package callerretry learns from the requests of each route how its callers behave: how long
 // they wait in total, which distinguishes a retry after a refusal from a new request, and
 // whether they retry at all. An instance that calls another service, for example, does not:
 // a refusal of its call fails its own request.
-package returns
+package callerretry
 
 import (
 	"math"
@@ -50,7 +50,7 @@
 
 // route holds the data about the callers of one route.
 type route struct {
-	// times counts the wait times that callers state, by bucket.
+	// times counts requests by the timeout that the caller sent, in buckets.
 	times map[int]float64
 	total float64
 	// refused and returned count refusals and retries. They decay with halfLife and are as
--- a/internal/dataplane/dataplane.go
+++ b/internal/dataplane/dataplane.go
@@ -1,6 +1,6 @@
 // Package dataplane is the request path of a node whose configuration has typed routes and
 // instances: its server and outbound proxy accept the requests of callers, and send them to the
-// node beside the chosen instance, whose server and inbound proxy deliver them.
+// sidecar of the chosen instance, whose server and inbound proxy deliver them.
 package dataplane
 
 import (
@@ -28,19 +28,19 @@
 type Options struct {
 	Names     message.Names
 	Snapshots interface{ Current() *snapshot.Snapshot }
-	// Service, Zone and Backend are the service, zone and address of the instance beside the node.
+	// Service, Zone and Backend are the service, zone and address of the node's instance.
 	Service, Zone, Backend string
 	// Slots is the number of slots of an instance whose entry gives none.
 	Slots int
 	// Cold limits how far the cold rate of a service may be exceeded.
 	Cold inbound.ColdBounds
-	// NodePort is the port on which the nodes beside other instances accept requests.
+	// NodePort is the port on which the sidecars of other instances accept requests.
 	NodePort int
 	// LinkBytesPerSecond is the capacity of the machine's network link; zero: not known.
 	LinkBytesPerSecond float64
 	Budget             budget.Options
 	// Suspects records the requests that may crash instances; nil: a ledger of this node alone.
-	Suspects *suspects.Ledger
+	Suspects *suspects.Tracker
 	// Mechanisms are the mechanisms that are switched on.
 	Mechanisms mechanism.Set
 	// Limits apply unless the configuration sets others.
@@ -65,7 +65,7 @@
 // New returns a Node that accepts no requests until Run.
 func New(options Options) (*Node, error) {
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	created := &Node{options: options, accounts: budget.New(options.Budget)}
 	var err error
@@ -97,7 +97,7 @@
 	return created, nil
 }
 
-func plainTextRefusal(status int, reason string) *message.Answer {
+func plainTextRefusal(status int, reason string) *message.Response {
 	return message.Whole(status, nil, []byte(reason+"\n"))
 }
 
@@ -174,10 +174,10 @@
 // defaultDrainTime is how long a drain without a deadline may take.
 const defaultDrainTime = 30 * time.Second
 
-// Drain prepares a planned stop and ends with the context at the latest. For DrainNotice, until
-// others know of the stop, the node goes on serving callers, and its instance goes on with
-// requests that end in time; callers are asked to close their connections. Drain returns once
-// no request has been in progress for a while.
+// Drain prepares a graceful shutdown and ends with the context at the latest. For DrainNotice,
+// until others know of the shutdown, the node goes on serving callers, and its instance goes on
+// with requests that end in time; callers are asked to close their connections. Drain returns
+// once no request has been in progress for a while.
 func (n *Node) Drain(ctx context.Context) error {
 	started := time.Now()
 	end, bounded := ctx.Deadline()
--- a/internal/dataplane/inbound/admit.go
+++ b/internal/dataplane/inbound/admit.go
@@ -29,7 +29,7 @@
 	if reason := p.checkTarget(order); reason != hop.ReasonNone {
 		return p.refuseAdmission(request, p.refuse(reason, 0))
 	}
-	if bytes < transfer.LargeBody {
+	if bytes < transfer.MinQueuedBytes {
 		return p.admitSmall(request, order)
 	}
 	grant, refusal, wait := p.link.Acquire(ctx, p.linkTicket(request, order, bytes), bytes)
@@ -38,7 +38,7 @@
 		p.log(request, order, delivery)
 		return p.refuseAdmission(request, delivery)
 	}
-	admission := server.Admission{Done: func(complete bool) {
+	admission := server.Admission{Release: func(complete bool) {
 		if complete {
 			grant.Received()
 			return
@@ -47,7 +47,7 @@
 		p.logIncompleteBody(request, order, bytes)
 	}}
 	if pace := p.link.Pace(); pace > 0 {
-		admission.Interim = server.Interim(hop.HeaderPace, strconv.FormatInt(pace, 10))
+		admission.Interim = server.InterimHeader(hop.HeaderPace, strconv.FormatInt(pace, 10))
 	}
 	return admission
 }
--- a/internal/dataplane/inbound/check.go
+++ b/internal/dataplane/inbound/check.go
@@ -21,12 +21,12 @@
 	switch {
 	case current.IsEvacuated(p.options.Zone):
 		return hop.ReasonEvacuated
-	case !listed && order.Revision > uint64(current.KnowsUpTo(order.Instance)):
+	case !listed && order.Revision > uint64(current.KnownRevision(order.Instance)):
 		p.cold.noteUnlisted(order.Instance, current, time.Now())
 		return hop.ReasonNone // the sender's configuration is newer; the instance itself checks its name
 	case !listed, instance.State == snapshot.InstanceDraining:
 		return hop.ReasonDraining
-	case instance.Address != p.options.Backend, !current.HoldsAddress(order.Instance), p.stale.has(instance.Life()):
+	case instance.Address != p.options.Backend, !current.OwnsAddress(order.Instance), p.stale.has(instance.ID()):
 		return hop.ReasonWrongInstance
 	}
 	p.updateSlots(instance.Slots)
@@ -37,7 +37,7 @@
 // slot may have been long.
 func (p *Proxy) recheckTarget(ctx context.Context, request *message.Request, order hop.Order, deadline time.Time) hop.Reason {
 	switch {
-	case ctx.Err() != nil || request.SenderGone():
+	case ctx.Err() != nil || request.IsClientGone():
 		return hop.ReasonCancelled
 	case !deadline.After(time.Now()):
 		return hop.ReasonDeadline
--- a/internal/dataplane/inbound/inbound.go
+++ b/internal/dataplane/inbound/inbound.go
@@ -49,12 +49,12 @@
 	MaxIdleNonRepeatable time.Duration
 	// LinkBytesPerSecond is the capacity of the machine's link; zero if not known.
 	LinkBytesPerSecond float64
-	// Budget limits the repeats of requests that start at this node, including the calls of
-	// the instance; nil means no limit.
+	// Budget limits the repeats of the requests that start at this node, which come from external
+	// callers and from the local instance; nil means no limit.
 	Budget *budget.Accounts
 	// Suspects records the requests that may crash instances; if it is nil, the Proxy keeps a
 	// ledger of its own.
-	Suspects *suspects.Ledger
+	Suspects *suspects.Tracker
 	// Mechanisms are the mechanisms that are enabled.
 	Mechanisms mechanism.Set
 	Logger     logrus.FieldLogger
@@ -89,7 +89,7 @@
 	probes   probeSemaphore
 	origins  originTracker
 	active   atomic.Int64
-	lines    *boundedlog.Lines
+	lines    *boundedlog.Limiter
 	metrics  *metrics
 }
 
@@ -99,7 +99,7 @@
 		options.Budget = budget.New(budget.Options{Slack: math.MaxInt32, FirstStart: true})
 	}
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	if options.MaxIdleNonRepeatable == 0 {
 		options.MaxIdleNonRepeatable = defaultMaxIdleNonRepeatable
@@ -116,7 +116,7 @@
 		lines: boundedlog.New(options.Logger),
 	}
 	created.probes = newProbeSemaphore()
-	created.crashes = &crashDetector{isGone: created.instance.IsGone, crashed: created.crashed}
+	created.crashes = &crashDetector{isGone: created.instance.RefusesConnections, crashed: created.crashed}
 	created.cold = newColdTracker(options)
 	created.queue = queue.NewRateLimited(options.Slots, created.cold.limit)
 	created.slots.Store(int64(options.Slots))
@@ -129,13 +129,13 @@
 // last request must have ended.
 type plannedStop struct{ refuseAt, end time.Time }
 
-// Drain announces a planned stop of the node. The instance keeps running, so requests are
+// Drain announces a graceful shutdown of the node. The instance keeps running, so requests are
 // sent to it until refuseAt if their deadlines are not after end.
 func (p *Proxy) Drain(refuseAt, end time.Time) {
 	p.stop.Store(&plannedStop{refuseAt: refuseAt, end: end})
 }
 
-// stopsBefore reports whether a planned stop leaves no time for a request with the deadline.
+// stopsBefore reports whether a graceful shutdown leaves no time for a request with the deadline.
 func (p *Proxy) stopsBefore(deadline time.Time) bool {
 	stop := p.stop.Load()
 	return stop != nil && (deadline.After(stop.end) || !time.Now().Before(stop.refuseAt))
@@ -153,14 +153,14 @@
 // Delivery is the result of a request. It holds an answer of the instance if the report's
 // outcome is hop.Answered.
 type Delivery struct {
-	Report hop.Report
-	Answer *message.Answer
+	Report   hop.Report
+	Response *message.Response
 	// Err is the reason why there is no answer. It is only logged.
 	Err error
 }
 
 // Serve handles a request from another node.
-func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Answer {
+func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Response {
 	if request.Method == client.VerifyMethod && request.Target == client.VerifyTarget {
 		answer := message.Whole(http.StatusNoContent, nil, nil)
 		set(answer.Header, p.options.Names.RequestID, request.ID)
@@ -176,8 +176,8 @@
 
 // answerFor returns the answer for the other node, which accepts no answer without the
 // ID of its request.
-func (p *Proxy) answerFor(request *message.Request, delivery Delivery) *message.Answer {
-	answer := delivery.Answer
+func (p *Proxy) answerFor(request *message.Request, delivery Delivery) *message.Response {
+	answer := delivery.Response
 	if answer == nil {
 		answer = message.Whole(http.StatusServiceUnavailable, nil, nil)
 		set(answer.Header, p.options.Names.RequestID, request.ID)
@@ -189,7 +189,7 @@
 // Deliver sends a request to the instance. A request that it refuses was not executed.
 func (p *Proxy) Deliver(ctx context.Context, request *message.Request, order hop.Order) Delivery {
 	delivery := p.deliver(ctx, request, order)
-	delivery.Report.Shared = p.isShared(request, order)
+	delivery.Report.ExternalCallers = p.isShared(request, order)
 	p.metrics.observeDelivery(delivery.Report)
 	p.log(request, order, delivery)
 	return delivery
@@ -206,10 +206,10 @@
 	}
 	entry = entry.WithFields(logrus.Fields{
 		"request": request.ID, "instance": order.Instance, "outcome": string(delivery.Report.Outcome),
-		"reason": string(delivery.Report.Reason), "priority": order.Priority, "value": order.Value,
+		"reason": string(delivery.Report.Reason), "priority": order.Priority, "value": order.ValueRank,
 		"ms": time.Since(request.Arrived).Milliseconds(), "left_ms": (order.Remaining - time.Since(request.Arrived)).Milliseconds(),
 		"may_wait_ms": order.MaxWait.Milliseconds(), "due_ms": order.Due.Milliseconds(),
-		"expected_ms": order.Expected.Milliseconds(), "wait_ms": delivery.Report.RetryAfter.Milliseconds(), "running": delivery.Report.Running,
+		"expected_ms": order.ServiceTime.Milliseconds(), "wait_ms": delivery.Report.RetryAfter.Milliseconds(), "running": delivery.Report.Running,
 		"waiting": delivery.Report.Waiting, "slots": delivery.Report.Slots, "sender_revision": order.Revision,
 	})
 	if delivery.Err != nil {
@@ -241,7 +241,7 @@
 // deliverAdmitted waits for a slot and sends the request.
 func (p *Proxy) deliverAdmitted(ctx context.Context, request *message.Request, order hop.Order) Delivery {
 	deadline := request.Arrived.Add(order.Remaining)
-	if order.Repeat >= hop.Certain && !p.options.Budget.Fits(repetitionOf(order), time.Now()) {
+	if order.RepeatPercent >= hop.CertainRepeat && !p.options.Budget.Fits(repetitionOf(order), time.Now()) {
 		return p.refuse(hop.ReasonRepeats, 0)
 	}
 	asked := time.Now()
@@ -271,8 +271,8 @@
 		return p.refuse(hop.ReasonRepeats, 0)
 	}
 	delivery := p.send(ctx, request, order, deadline, slot)
-	if delivery.Answer != nil {
-		if rest, ok := delivery.Answer.Stream.(*stream); ok {
+	if delivery.Response != nil {
+		if rest, ok := delivery.Response.Stream.(*stream); ok {
 			rest.run = run
 			return delivery
 		}
@@ -283,7 +283,7 @@
 
 // repetitionOf returns what the sender states about the request being a repeat.
 func repetitionOf(order hop.Order) budget.Repetition {
-	return budget.Repetition{Probability: float64(order.Repeat) / hop.Certain, Failed: order.Failed}
+	return budget.Repetition{Probability: float64(order.RepeatPercent) / hop.CertainRepeat, Failed: order.Failed}
 }
 
 // isShared records the service at whose node a request starts, and reports whether the
@@ -300,13 +300,13 @@
 // ticketFor returns the ticket with which the request queues for a slot.
 func (p *Proxy) ticketFor(request *message.Request, order hop.Order) queue.Ticket {
 	ticket := queue.Ticket{
-		Priority: order.Priority, Value: queue.Value(order.Value), Due: request.Arrived.Add(order.Due),
-		LatestStart: request.Arrived.Add(order.Remaining - order.Expected),
-		MaxWait:     order.MaxWait, Expected: order.Expected, Length: order.Expected, OnlyCandidate: order.OnlyCandidate,
+		Priority: order.Priority, Value: queue.Value(order.ValueRank), Due: request.Arrived.Add(order.Due),
+		LatestStart: request.Arrived.Add(order.Remaining - order.ServiceTime),
+		MaxWait:     order.MaxWait, Expected: order.ServiceTime, Length: order.ServiceTime, OnlyCandidate: order.OnlyCandidate,
 	}
 	enabled := p.options.Mechanisms
 	if !enabled.ValueOrder {
-		ticket.Value = queue.Full
+		ticket.Value = queue.ValueFull
 	}
 	if !enabled.DueOrder {
 		ticket.Due = request.Arrived
@@ -314,7 +314,7 @@
 	if !enabled.ShortFirst {
 		ticket.Length = 0
 	}
-	ticket.OnlyCandidate = ticket.OnlyCandidate && enabled.Stays
+	ticket.OnlyCandidate = ticket.OnlyCandidate && enabled.KeepOnlyCandidate
 	return ticket
 }
 
@@ -343,7 +343,7 @@
 	const kibibyte = 1024
 	return hop.Report{
 		Outcome: outcome, Reason: reason, Running: usage.Running, Waiting: usage.Waiting, Slots: usage.Slots,
-		Backlog: p.link.Backlog(), LinkRate: int(p.link.Rate() / kibibyte), Speed: p.speed.hundredths(),
+		Backlog: p.link.Backlog(), LinkRate: int(p.link.Rate() / kibibyte), SlowdownPercent: p.speed.hundredths(),
 		ColdFor: p.cold.limit.ColdFor(time.Now()),
 	}
 }
--- a/internal/dataplane/inbound/send.go
+++ b/internal/dataplane/inbound/send.go
@@ -46,16 +46,16 @@
 }
 
 // processOf returns the current process of an instance, or just its name if it is not listed.
-func (p *Proxy) processOf(name string) snapshot.Life {
+func (p *Proxy) processOf(name string) snapshot.InstanceID {
 	if current := p.options.Snapshots.Current(); current != nil {
 		if instance, listed := current.Instance(name); listed {
-			return instance.Life()
+			return instance.ID()
 		}
 	}
-	return snapshot.Life{Name: name}
+	return snapshot.InstanceID{Name: name}
 }
 
-var errNoStamp = errors.New("the instance's response lacks the required stamp header")
+var errNoStamp = errors.New("the instance's response lacks the header that identifies the server")
 
 // instanceRequest returns the request as it is sent to the instance.
 func (p *Proxy) instanceRequest(request *message.Request, order hop.Order, deadline time.Time) *client.Request {
@@ -73,8 +73,8 @@
 		Method: request.Method, Target: request.Target, Host: request.Host,
 		Header: header, Body: request.Body, ID: request.ID,
 	}
-	if !order.Repeatable && p.options.Mechanisms.RestLimit {
-		sent.MaxRest = p.options.MaxIdleNonRepeatable
+	if !order.Repeatable && p.options.Mechanisms.IdleLimit {
+		sent.MaxIdle = p.options.MaxIdleNonRepeatable
 	}
 	return sent
 }
@@ -134,15 +134,15 @@
 // forwardResponse forwards a response: a short one once it is complete, a long one or an
 // event stream as it arrives.
 func (p *Proxy) forwardResponse(response *client.Response, request *message.Request, order hop.Order, started time.Time, slot *queue.Slot, cancel func()) Delivery {
-	answer := &message.Answer{Status: response.Status, Header: response.Header, Length: response.Length}
+	answer := &message.Response{Status: response.Status, Header: response.Header, Length: response.Length}
 	message.StripHopByHop(answer.Header)
-	body, complete, err := response.Hold()
+	body, complete, err := response.Buffer()
 	if err == nil {
 		p.clearSuspicion(request)
 	}
 	if err == nil && !complete {
 		answer.Body, answer.Stream = body, &stream{response: response, slot: slot, cancel: cancel}
-		return Delivery{Report: p.report(hop.Answered, hop.ReasonNone), Answer: answer}
+		return Delivery{Report: p.report(hop.Answered, hop.ReasonNone), Response: answer}
 	}
 	_ = response.Close()
 	cancel()
@@ -153,11 +153,11 @@
 	answer.Body, answer.Length = body, int64(len(body))
 	execution := time.Since(started)
 	if answer.Status < http.StatusMultipleChoices {
-		p.speed.record(execution, order.Ordinary)
+		p.speed.record(execution, order.MeanServiceTime)
 	}
 	report := p.report(hop.Answered, hop.ReasonNone)
 	report.Execution = execution
-	return Delivery{Report: report, Answer: answer}
+	return Delivery{Report: report, Response: answer}
 }
 
 // stream is the rest of a response. The slot is held until the stream is closed.
--- a/internal/dataplane/outbound/exchange.go
+++ b/internal/dataplane/outbound/exchange.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/winchhead/winchhead/internal/dataplane/balance"
+	"github.com/winchhead/winchhead/internal/dataplane/callerretry"
 	"github.com/winchhead/winchhead/internal/dataplane/hop"
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 	"github.com/winchhead/winchhead/internal/dataplane/repeats"
-	"github.com/winchhead/winchhead/internal/dataplane/returns"
 	"github.com/winchhead/winchhead/internal/snapshot"
 	"github.com/winchhead/winchhead/internal/suspects"
 )
@@ -25,8 +25,8 @@
 	// maxBudgetRefusals limits the nodes that may refuse a repeat because the calls of its run
 	// would exceed the repeat budget: where two have no budget for them, most have none.
 	maxBudgetRefusals = 2
-	// hopMargin is how much earlier the request's deadline is beside the instance than at this
-	// node, so that the report of that node still arrives in time.
+	// hopMargin is how much earlier the request's deadline is at the sidecar than at this
+	// node, so that the report of the sidecar still arrives in time.
 	hopMargin = 10 * time.Millisecond
 	// minRepeatTime is the least time that must be left for a repeat.
 	minRepeatTime = 20 * time.Millisecond
@@ -42,7 +42,7 @@
 	deadline time.Time
 	// callerTimeout is how long the caller waits.
 	callerTimeout time.Duration
-	caller        returns.Caller
+	caller        callerretry.Caller
 	service       string
 
 	// tried are the instances that are not asked again.
@@ -54,8 +54,8 @@
 	// of a further send, which depends on the result of the last one that did.
 	arrivals int
 	nextKind repeats.Kind
-	// repeatProbability is the probability that the request was sent by an instance while it
-	// executed a repeat of another request.
+	// repeatProbability is the probability that the caller is an instance that sent this
+	// request while executing a repeat of another request.
 	repeatProbability float64
 	// repeatReserved is set while a repeat is taken from the budget that has reached no
 	// instance yet; budgetRefusals counts the refusals for lack of repeat budget.
@@ -64,7 +64,7 @@
 	// fullRefusals counts the refusals for lack of capacity.
 	fullRefusals int
 	// failedAnswer is the last error answer of an instance to a request that may be repeated.
-	failedAnswer *message.Answer
+	failedAnswer *message.Response
 	// minRetryAfter is the shortest RetryAfter of the refusals; lastReason is the reason in the
 	// last report.
 	minRetryAfter time.Duration
@@ -80,14 +80,14 @@
 // sendResult is the result of one send.
 type sendResult struct {
 	report hop.Report
-	answer *message.Answer // set if the report's outcome is hop.Answered
-	// reported is false if the node beside the instance sent no report.
+	answer *message.Response // set if the report's outcome is hop.Answered
+	// reported is false if the instance's sidecar sent no report.
 	reported bool
 	err      error
 }
 
 // run sends the request until there is a final answer.
-func (e *exchange) run() *message.Answer {
+func (e *exchange) run() *message.Response {
 	e.registerRequest()
 	defer e.returnRepeat()
 	for e.tries < maxTries && e.fullRefusals < maxFullRefusals {
@@ -131,7 +131,7 @@
 	order := e.order(choice)
 	if choice.Local && e.proxy.options.LocalInbound != nil {
 		delivery := e.proxy.options.LocalInbound.Deliver(e.ctx, e.arrivingNow(), order)
-		return sendResult{report: delivery.Report, answer: delivery.Answer, reported: true, err: delivery.Err}
+		return sendResult{report: delivery.Report, answer: delivery.Response, reported: true, err: delivery.Err}
 	}
 	return e.proxy.sidecars.send(e.ctx, e.request, choice.Instance, order)
 }
@@ -145,7 +145,7 @@
 }
 
 // handleResult decides whether a send gave the final answer.
-func (e *exchange) handleResult(sent sendResult) (answer *message.Answer, final bool) {
+func (e *exchange) handleResult(sent sendResult) (answer *message.Response, final bool) {
 	e.lastReason = sent.report.Reason
 	switch sent.report.Outcome {
 	case hop.Answered:
@@ -194,7 +194,7 @@
 
 // handleAnswer returns an instance's answer as the final one, unless it is a server error and
 // the request can be repeated.
-func (e *exchange) handleAnswer(sent sendResult) (*message.Answer, bool) {
+func (e *exchange) handleAnswer(sent sendResult) (*message.Response, bool) {
 	e.possibleRuns++
 	failed := sent.answer.Status >= http.StatusInternalServerError
 	if failed && e.route.MayRepeat(e.request.Method) && sent.answer.Stream == nil &&
--- a/internal/dataplane/outbound/order_test.go
+++ b/internal/dataplane/outbound/order_test.go
@@ -11,21 +11,22 @@
 
 const ms = time.Millisecond
 
-// TestDue: how long a request may still wait, and the value of its answer then.
+// TestDue checks how long a request may still wait for a slot, and which value (Full, Reduced
+// or Late) its answer then has.
 func TestDue(t *testing.T) {
 	for name, row := range map[string]struct {
 		allowed, waited, elapsed, wait time.Duration
 		value                          queue.Value
 	}{
-		"new":                              {500 * ms, 0, 0, 500 * ms, queue.Full},
-		"new, waited":                      {500 * ms, 100 * ms, 0, 400 * ms, queue.Full},
-		"new, waited for too long":         {500 * ms, 600 * ms, 0, 0, queue.Late},
-		"early retry":                      {500 * ms, 0, 100 * ms, 400 * ms, queue.Full},
-		"late retry":                       {500 * ms, 0, 400 * ms, 500 * ms, queue.Reduced},
-		"late retry, waited":               {500 * ms, 100 * ms, 400 * ms, 400 * ms, queue.Reduced},
-		"late retry, waited for too long":  {500 * ms, 600 * ms, 400 * ms, 0, queue.Late},
-		"retry after more than its target": {500 * ms, 0, 1500 * ms, 500 * ms, queue.Reduced},
-		"early retry, little wait allowed": {200 * ms, 0, 50 * ms, 200 * ms, queue.Reduced},
+		"new":                              {500 * ms, 0, 0, 500 * ms, queue.ValueFull},
+		"new, waited":                      {500 * ms, 100 * ms, 0, 400 * ms, queue.ValueFull},
+		"new, waited for too long":         {500 * ms, 600 * ms, 0, 0, queue.ValueLate},
+		"early retry":                      {500 * ms, 0, 100 * ms, 400 * ms, queue.ValueFull},
+		"late retry":                       {500 * ms, 0, 400 * ms, 500 * ms, queue.ValueReduced},
+		"late retry, waited":               {500 * ms, 100 * ms, 400 * ms, 400 * ms, queue.ValueReduced},
+		"late retry, waited for too long":  {500 * ms, 600 * ms, 400 * ms, 0, queue.ValueLate},
+		"retry after more than its target": {500 * ms, 0, 1500 * ms, 500 * ms, queue.ValueReduced},
+		"early retry, little wait allowed": {200 * ms, 0, 50 * ms, 200 * ms, queue.ValueReduced},
 	} {
 		t.Run(name, func(t *testing.T) {
 			wait, value := dueOf(1000*ms, row.allowed, row.waited, row.elapsed)
@@ -51,8 +52,9 @@
 	qt.Check(t, finalAttemptWait(100*ms, 50*ms, 0), qt.Equals, 100*ms)
 }
 
-// TestRetryAfter: callers retry when the next slot is free, or later the less chance they
-// would have then, and never so late that no time is left.
+// TestRetryAfter: callers are asked to retry when the next slot is free. As more new requests
+// are refused, they are asked to retry later, but early enough that time is left for the request.
+// The wait, before jitter, is always between minRetryAfterTime and maxRetryAfterTime.
 func TestRetryAfter(t *testing.T) {
 	for name, row := range map[string]struct {
 		nextSlot, left time.Duration
--- a/internal/dataplane/outbound/outbound.go
+++ b/internal/dataplane/outbound/outbound.go
@@ -1,5 +1,5 @@
 // Package outbound is the proxy for the requests of callers: it finds the route, chooses an
-// instance and sends the request to the node beside it. It repeats a send only when that is
+// instance and sends the request to its sidecar. It repeats a send only when that is
 // safe. Each request gets exactly one final answer, at the latest at its deadline.
 //
 // A send offers the request to one instance. A repeat is a further send by the proxy after an
@@ -19,13 +19,13 @@
 
 	"github.com/winchhead/winchhead/internal/dataplane/balance"
 	"github.com/winchhead/winchhead/internal/dataplane/budget"
+	"github.com/winchhead/winchhead/internal/dataplane/callerretry"
 	"github.com/winchhead/winchhead/internal/dataplane/hop"
 	"github.com/winchhead/winchhead/internal/dataplane/inbound"
 	"github.com/winchhead/winchhead/internal/dataplane/losses"
 	"github.com/winchhead/winchhead/internal/dataplane/mechanism"
 	"github.com/winchhead/winchhead/internal/dataplane/message"
 	"github.com/winchhead/winchhead/internal/dataplane/repeats"
-	"github.com/winchhead/winchhead/internal/dataplane/returns"
 	"github.com/winchhead/winchhead/internal/snapshot"
 	"github.com/winchhead/winchhead/internal/suspects"
 )
@@ -45,14 +45,14 @@
 type Options struct {
 	Names     message.Names
 	Snapshots SnapshotSource
-	// Service is the service of the instance beside this node, where requests start.
+	// Service is the service of this node's instance, where requests start.
 	Service string
 	Zone    string
-	// Backend is the address of the instance beside this node, to which LocalInbound delivers;
+	// Backend is the address of this node's instance, to which LocalInbound delivers;
 	// empty: none.
 	Backend      string
 	LocalInbound LocalInbound
-	// NodePort is the port on which the nodes beside other instances accept requests.
+	// NodePort is the port on which the sidecars of other instances accept requests.
 	NodePort int
 	// LinkBytesPerSecond is the capacity of the machine's network link; zero: not known.
 	LinkBytesPerSecond float64
@@ -60,8 +60,8 @@
 	Mechanisms mechanism.Set
 	// Budget limits the repeats of requests that start at this node.
 	Budget *budget.Accounts
-	// Suspects records the requests that may crash instances; nil: a new, empty ledger.
-	Suspects *suspects.Ledger
+	// Suspects records the requests that may crash instances; nil: a new, empty tracker.
+	Suspects *suspects.Tracker
 	Logger   logrus.FieldLogger
 	// Registerer registers the metrics; nil: they are not registered.
 	Registerer prometheus.Registerer
@@ -73,12 +73,12 @@
 	balancer      *balance.Balancer
 	sidecars      sidecars
 	targets       targetSelector
-	callerRetries *returns.Tracker
+	callerRetries *callerretry.Tracker
 	losses        *losses.Ledger
 	repeatLedger  *repeats.Ledger
 	log           *requestLog
 	metrics       *metrics
-	// stopAt is when a planned stop ends, in nanoseconds since epoch; zero: none.
+	// stopAt is when a graceful shutdown ends, in nanoseconds since epoch; zero: none.
 	stopAt atomic.Int64
 	// stopped is cancelled by Stop.
 	stopped context.Context
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	if options.Suspects == nil {
-		options.Suspects = suspects.NewLedger()
+		options.Suspects = suspects.NewTracker()
 	}
 	stopped, stop := context.WithCancel(context.Background())
 	created := &Proxy{
@@ -103,7 +103,7 @@
 		options:       options,
 		balancer:      balance.New(balance.Options{Zone: options.Zone, LocalAddress: options.Backend, Mechanisms: options.Mechanisms}),
 		sidecars:      newSidecarPools(options),
-		callerRetries: returns.New(),
+		callerRetries: callerretry.New(),
 		losses:        losses.New(options.Logger),
 		log:           newRequestLog(options.Logger),
 		metrics:       registered,
@@ -112,7 +112,7 @@
 	return created, nil
 }
 
-// Drain announces the end of a planned stop: from now on, requests that might not be
+// Drain announces the end of a graceful shutdown: from now on, requests that might not be
 // answered by then are refused.
 func (p *Proxy) Drain(end time.Time) { p.stopAt.Store(int64(end.Sub(epoch))) }
 
@@ -122,7 +122,7 @@
 // epoch is the reference time of stopAt.
 var epoch = time.Now()
 
-// stopsBefore reports whether a planned stop ends before the deadline.
+// stopsBefore reports whether a graceful shutdown ends before the deadline.
 func (p *Proxy) stopsBefore(deadline time.Time) bool {
 	stopAt := p.stopAt.Load()
 	return stopAt > 0 && deadline.Sub(epoch) > time.Duration(stopAt)
@@ -147,9 +147,9 @@
 const stoppingRetryAfter = time.Second
 
 // Serve answers one request of a caller.
-func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Answer {
-	if request.SenderGone() {
-		return &message.Answer{Abort: true}
+func (p *Proxy) Serve(ctx context.Context, request *message.Request) *message.Response {
+	if request.IsClientGone() {
+		return &message.Response{Abort: true}
 	}
 	current := p.options.Snapshots.Current()
 	if current == nil {
@@ -188,12 +188,12 @@
 }
 
 // Refuse returns the answer to a request that the server could not accept.
-func (p *Proxy) Refuse(status int, reason string) *message.Answer {
+func (p *Proxy) Refuse(status int, reason string) *message.Response {
 	p.metrics.ended("", outcomeMalformed, 0)
 	return p.errorAnswer(nil, status, reason, 0)
 }
 
-func (p *Proxy) refuseUnconfigured(request *message.Request) *message.Answer {
+func (p *Proxy) refuseUnconfigured(request *message.Request) *message.Response {
 	p.metrics.ended("", outcomeNotRun, 0)
 	return p.errorAnswer(request, http.StatusServiceUnavailable, "the node holds no configuration yet", unconfiguredRetryAfter)
 }
@@ -233,7 +233,7 @@
 )
 
 // errorAnswer returns an answer made by the proxy itself.
-func (p *Proxy) errorAnswer(request *message.Request, status int, reason string, retryAfter time.Duration) *message.Answer {
+func (p *Proxy) errorAnswer(request *message.Request, status int, reason string, retryAfter time.Duration) *message.Response {
 	answer := message.Whole(status, nil, []byte(reason+"\n"))
 	answer.Header[headerContentType] = []string{plainText}
 	if request != nil && p.options.Names.RequestID != "" {
--- a/internal/dataplane/outbound/refuse.go
+++ b/internal/dataplane/outbound/refuse.go
@@ -37,11 +37,11 @@
 
 // refuse returns the final answer when no further instance accepts the request. If it has not
 // run, it never will; if it has, the caller gets the result.
-func (e *exchange) refuse() *message.Answer {
+func (e *exchange) refuse() *message.Response {
 	switch {
 	case e.callerGone():
 		e.finish(outcomeCallerGone, 0)
-		return &message.Answer{Abort: true}
+		return &message.Response{Abort: true}
 	case e.failedAnswer != nil:
 		e.finish(outcomeAnswered, e.failedAnswer.Status)
 		return e.failedAnswer
@@ -56,7 +56,7 @@
 // retryAfter returns when the request is likely to find a slot, with a random part.
 func (e *exchange) retryAfter() time.Duration {
 	pressure := 0.0
-	if e.proxy.options.Mechanisms.LateReturns {
+	if e.proxy.options.Mechanisms.LateRetries {
 		pressure = e.proxy.callerRetries.Pressure(e.route.Name, time.Now())
 	}
 	if !e.hasReady() {
@@ -73,16 +73,16 @@
 // next slot is free; while many are, as late as leaves time for the request, as earlier retries
 // would be refused again.
 func computeRetryAfter(nextSlot, left time.Duration, pressure float64) time.Duration {
-	soon := min(max(nextSlot, minRetryAfterTime), maxRetryAfterTime)
-	late := min(max(time.Duration(retryShare*float64(left)), soon), maxRetryAfterTime)
-	return soon + time.Duration(min(pressure/saturationPressure, 1)*float64(late-soon))
+	earliest := min(max(nextSlot, minRetryAfterTime), maxRetryAfterTime)
+	latest := min(max(time.Duration(retryShare*float64(left)), earliest), maxRetryAfterTime)
+	return earliest + time.Duration(min(pressure/saturationPressure, 1)*float64(latest-earliest))
 }
 
 // failUnknown returns the final answer to a request that may have run.
-func (e *exchange) failUnknown(sent sendResult) *message.Answer {
+func (e *exchange) failUnknown(sent sendResult) *message.Response {
 	if e.callerGone() {
 		e.finish(outcomeCallerGone, 0)
-		return &message.Answer{Abort: true}
+		return &message.Response{Abort: true}
 	}
 	status := http.StatusBadGateway
 	if e.ctx.Err() != nil || sent.report.Reason == hop.ReasonDeadline {
--- a/internal/dataplane/outbound/sidecar_pools.go
+++ b/internal/dataplane/outbound/sidecar_pools.go
@@ -41,7 +41,7 @@
 	NodeServerIdleTimeout = time.Minute
 )
 
-// sidecars sends requests to the nodes beside other instances.
+// sidecars sends requests to the sidecars of other instances.
 type sidecars interface {
 	send(ctx context.Context, request *message.Request, instance snapshot.Instance, order hop.Order) sendResult
 	// prune closes connections that were idle for too long.
@@ -49,7 +49,7 @@
 	close()
 }
 
-// sidecarPools keeps connections to the nodes beside other instances.
+// sidecarPools keeps connections to the sidecars of other instances.
 type sidecarPools struct {
 	port     int
 	pacer    *transfer.Pacer
@@ -71,7 +71,7 @@
 	return created
 }
 
-// nodeAddress returns the address on which the node beside an instance accepts requests.
+// nodeAddress returns the address on which an instance's sidecar accepts requests.
 func (n *sidecarPools) nodeAddress(instance snapshot.Instance) string {
 	parsed, err := netip.ParseAddrPort(instance.Address)
 	if err != nil {
@@ -86,18 +86,18 @@
 	pool := n.pools[address]
 	if pool == nil {
 		pool = client.NewPool(client.Options{
-			Address:        address,
-			IDHeader:       n.idHeader,
-			ConnectTimeout: nodeConnectTimeout,
-			IdleTimeout:    nodeIdleTimeout,
-			RunsWholeOnly:  true,
-			Pacer:          n.pacer,
-			PaceHeader:     hop.HeaderPace,
-			ProgressHeader: hop.HeaderProgress,
-			Dial:           client.DialRemote,
-			VerifyAfter:    nodeVerifyAfter,
-			VerifyRested:   nodeVerifyIdle,
-			VerifyTimeout:  nodeVerifyTimeout,
+			Address:          address,
+			IDHeader:         n.idHeader,
+			ConnectTimeout:   nodeConnectTimeout,
+			IdleTimeout:      nodeIdleTimeout,
+			RunsOnlyComplete: true,
+			Pacer:            n.pacer,
+			PaceHeader:       hop.HeaderPace,
+			ProgressHeader:   hop.HeaderProgress,
+			Dial:             client.DialRemote,
+			VerifyAfter:      nodeVerifyAfter,
+			VerifyIdle:       nodeVerifyIdle,
+			VerifyTimeout:    nodeVerifyTimeout,
 		})
 		n.pools[address] = pool
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-// send sends a request to the node beside an instance. That node runs nothing before it has
+// send sends a request to an instance's sidecar. The sidecar runs nothing before it has
 // the whole request, so a request that was sent in part has not run.
 func (n *sidecarPools) send(ctx context.Context, request *message.Request, instance snapshot.Instance, order hop.Order) sendResult {
 	header := maps.Clone(request.Header)
@@ -136,8 +136,8 @@
 	response, err := n.poolOf(n.nodeAddress(instance)).Do(ctx, &client.Request{
 		Method: request.Method, Target: request.Target, Host: request.Host,
 		Header: header, Body: request.Body, ID: request.ID,
-		AskFirst:     n.askFirst && len(request.Body) >= transfer.AskedBody,
-		SilenceLimit: silenceLimitOf(order),
+		ExpectContinue: n.askFirst && len(request.Body) >= transfer.MinAdmissionBytes,
+		SilenceLimit:   silenceLimitOf(order),
 	})
 	if err != nil {
 		return failedSend(err)
@@ -186,9 +186,9 @@
 
 // takeAnswer buffers a short answer until it is complete and streams a longer one.
 func takeAnswer(response *client.Response, report hop.Report) sendResult {
-	answer := &message.Answer{Status: response.Status, Header: response.Header, Length: response.Length}
+	answer := &message.Response{Status: response.Status, Header: response.Header, Length: response.Length}
 	message.StripHopByHop(answer.Header)
-	body, whole, err := response.Hold()
+	body, whole, err := response.Buffer()
 	switch {
 	case err != nil:
 		_ = response.Close()
--- a/internal/dataplane/outbound/suspicion.go
+++ b/internal/dataplane/outbound/suspicion.go
@@ -28,12 +28,12 @@
 	crashObserved bool
 }
 
-// assess returns the current standing of the request.
+// assess returns the current status of the request.
 func (e *exchange) assess() suspects.Standing {
 	s := &e.suspicion
 	s.standing = suspects.Clear
-	if ledger := e.proxy.options.Suspects; !ledger.IsEmpty() {
-		assessment := ledger.Assess(e.fingerprint())
+	if tracker := e.proxy.options.Suspects; !tracker.IsEmpty() {
+		assessment := tracker.Assess(e.fingerprint())
 		s.standing, s.until = assessment.Standing, assessment.Until
 	}
 	if s.standing == suspects.Clear && s.crashObserved {
@@ -45,7 +45,7 @@
 func (e *exchange) fingerprint() suspects.Fingerprint {
 	s := &e.suspicion
 	if !s.hasFingerprint {
-		s.fingerprint = suspects.Of(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
+		s.fingerprint = suspects.NewFingerprint(e.request.Method, e.request.Host, e.request.Target, e.request.Body)
 		s.hasFingerprint = true
 	}
 	return s.fingerprint
@@ -98,7 +98,7 @@
 
 // refuseQuarantined returns the final answer to a request that crashes instances. If it has not
 // run, the answer says when to retry: not before the next probe is due.
-func (e *exchange) refuseQuarantined() *message.Answer {
+func (e *exchange) refuseQuarantined() *message.Response {
 	e.lastReason = hop.ReasonCrashesInstances
 	if e.possibleRuns > 0 || e.callerGone() {
 		return e.refuse()
--- a/internal/distribution/engine.go
+++ b/internal/distribution/engine.go
@@ -45,20 +45,20 @@
 	actions []Action
 	stopped bool
 
-	table   *membership.Table
-	view    *membership.View
-	ranking ranking
-	fleet   fleetState
-	list    listReplica
-	outbox  outbox
-	overlay overlay
-	push    pushState
-	repair  repairState
-	reading readingState
-	members membersState
-	start   startState
-	crashes *suspects.Book
-	changes changeBook
+	table        *membership.Table
+	view         *membership.View
+	ranking      ranking
+	fleet        fleetState
+	list         listReplica
+	outbox       outbox
+	overlay      overlay
+	push         pushState
+	repair       repairState
+	sourceReader readerState
+	members      membersState
+	start        startState
+	crashes      *suspects.CrashRecords
+	changes      changeCache
 }
 
 // NewEngine returns an engine that knows no node but its own.
@@ -81,8 +81,8 @@
 		outbox:  newOutbox(),
 		overlay: newOverlay(),
 		push:    newPushState(),
-		crashes: suspects.NewBook(),
-		changes: newChangeBook(),
+		crashes: suspects.NewCrashRecords(),
+		changes: newChangeCache(),
 	}
 }
 
@@ -161,7 +161,7 @@
 			wake = at
 		}
 	}
-	earlier(e.fleet.tellAt)
+	earlier(e.fleet.notifyAt)
 	earlier(e.outbox.flushAt)
 	earlier(e.overlay.maintainAt)
 	earlier(e.overlay.retrySuspectedAt)
@@ -169,8 +169,8 @@
 		earlier(l.deadline(e))
 	}
 	e.push.deadlines(e, earlier)
-	e.reading.deadlines(earlier)
-	earlier(e.members.askAt)
+	e.sourceReader.deadlines(earlier)
+	earlier(e.members.nextRequestAt)
 	e.start.deadlines(e, earlier)
 	return wake
 }
--- a/internal/distribution/fleet_changes.go
+++ b/internal/distribution/fleet_changes.go
@@ -53,9 +53,9 @@
 func (e *Engine) onFleetChanges(l *link, m *wire.FleetChanges) {
 	received := make([]AgedChange, 0, len(m.Changes))
 	for _, change := range m.Changes {
-		decoded, err := snapshot.ChangeOf(change.Revision, change.Resource)
+		decoded, err := snapshot.DecodeChange(change.Revision, change.Resource)
 		if err != nil {
-			e.faulty(l, "it sent an invalid fleet change: "+err.Error())
+			e.closeFaultyLink(l, "it sent an invalid fleet change: "+err.Error())
 			return
 		}
 		age := time.Duration(min(max(change.Age, 0), changeRetention.Milliseconds())) * time.Millisecond
@@ -72,13 +72,13 @@
 		return
 	}
 	e.act(FleetChangesLearned{Changes: added})
-	e.sendFleetChanges(added, e.overlay.establishedIDs(func(l *link) bool { return l.id != from && l.takesChanges })...)
+	e.sendFleetChanges(added, e.overlay.establishedIDs(func(l *link) bool { return l.id != from && l.acceptsChanges })...)
 }
 
 // sendRecentChanges sends the remembered changes on a new link: its peer may have been starting,
 // or partitioned, when they were flooded.
 func (e *Engine) sendRecentChanges(l *link) {
-	if !l.takesChanges {
+	if !l.acceptsChanges {
 		return
 	}
 	e.changes.expire(e.now)
@@ -100,9 +100,9 @@
 	}
 }
 
-// changeBook remembers the newest change of each key for changeRetention, so that each change is
+// changeCache remembers the newest change of each key for changeRetention, so that each change is
 // forwarded once.
-type changeBook struct {
+type changeCache struct {
 	byKey map[snapshot.Key]rememberedChange
 }
 
@@ -112,10 +112,10 @@
 	learnedAt time.Time
 }
 
-func newChangeBook() changeBook { return changeBook{byKey: make(map[snapshot.Key]rememberedChange)} }
+func newChangeCache() changeCache { return changeCache{byKey: make(map[snapshot.Key]rememberedChange)} }
 
 // merge adds the changes that are newer than the remembered ones of their keys, and returns them.
-func (b *changeBook) merge(changes []AgedChange, now time.Time) (added []AgedChange) {
+func (b *changeCache) merge(changes []AgedChange, now time.Time) (added []AgedChange) {
 	b.expire(now)
 	for _, change := range changes {
 		held, known := b.byKey[change.Key]
@@ -128,13 +128,13 @@
 	return added
 }
 
-func (b *changeBook) expire(now time.Time) {
+func (b *changeCache) expire(now time.Time) {
 	maps.DeleteFunc(b.byKey, func(_ snapshot.Key, change rememberedChange) bool {
 		return now.Sub(change.learnedAt) >= changeRetention
 	})
 }
 
-func (b *changeBook) all() []AgedChange {
+func (b *changeCache) all() []AgedChange {
 	all := make([]AgedChange, 0, len(b.byKey))
 	for _, change := range b.byKey {
 		all = append(all, change.AgedChange)
--- a/internal/distribution/freshness_test.go
+++ b/internal/distribution/freshness_test.go
@@ -82,7 +82,7 @@
 	f.publish()
 	began := f.Now()
 	c.Check(f.RunUntil(givenUp, func() bool { return f.AllHold(f.latest.Version()) }), qt.IsTrue)
-	c.Check(f.Broken(), qt.HasLen, 0)
+	c.Check(f.Violations(), qt.HasLen, 0)
 	return f.Now() - began
 }
 
@@ -147,7 +147,7 @@
 					random := rand.New(rand.NewPCG(seed, 2))
 					for i := range changes {
 						f.revision++
-						leaves := leaving(f.revision, fmt.Sprint("i-", i))
+						leaves := drainingChange(f.revision, fmt.Sprint("i-", i))
 						f.Platform.PublishChanges(largeDocument(f.revision, documentBytes), leaves)
 						began := f.Now()
 						s := &scenario{c: c, Fleet: f.Fleet}
@@ -159,7 +159,7 @@
 						worst = max(worst, f.Now()-began)
 						f.Run(time.Duration(random.Int64N(int64(longest))))
 					}
-					c.Check(f.Broken(), qt.HasLen, 0)
+					c.Check(f.Violations(), qt.HasLen, 0)
 				}
 				c.Logf("worst %s", worst)
 				c.Check(worst <= within, qt.IsTrue, qt.Commentf("worst %s", worst))
@@ -247,7 +247,7 @@
 							f.restartRandom(random)
 							f.Run(time.Duration(random.Int64N(int64(2 * time.Second))))
 						}
-						c.Check(f.Broken(), qt.HasLen, 0)
+						c.Check(f.Violations(), qt.HasLen, 0)
 					}
 					slices.Sort(took)
 					nearlyAll, all := took[len(took)*99/100], took[len(took)-1]
@@ -296,7 +296,7 @@
 
 // TestChangeShortlyAfterFleetStart checks that a change is in force in time while all nodes start
 // together and leave reading to others until they know the fleet. The first nodes of each zone then
-// have to read at once, without waiting StandInDelay for a reader that may be restarting.
+// have to read at once, without waiting TakeOverDelay for a reader that may be restarting.
 func TestChangeShortlyAfterFleetStart(t *testing.T) {
 	// inForceBy is the limit, counted from the start: what is required of nodes that have been
 	// running for 3 s, with a margin for real machines.
--- a/internal/distribution/members.go
+++ b/internal/distribution/members.go
@@ -10,11 +10,11 @@
 // for changes. Other nodes read the list once at startup, and again while they have no
 // links.
 type membersState struct {
-	request    RequestID
-	etag       string
-	askAt      time.Time
-	lastReadAt time.Time
-	failures   int
+	request       RequestID
+	etag          string
+	nextRequestAt time.Time
+	lastReadAt    time.Time
+	failures      int
 	// hasRead is set after the first successful read of the list.
 	hasRead     bool
 	longPolling bool
@@ -30,11 +30,11 @@
 	if m.request != 0 {
 		return
 	}
-	if m.askAt.IsZero() && e.needsList() {
-		m.askAt = m.nextReadAt(e)
+	if m.nextRequestAt.IsZero() && e.needsList() {
+		m.nextRequestAt = m.nextReadAt(e)
 	}
-	if e.passed(m.askAt) {
-		m.askAt = time.Time{}
+	if e.passed(m.nextRequestAt) {
+		m.nextRequestAt = time.Time{}
 		if e.needsList() {
 			e.fetchMembers()
 		}
@@ -43,7 +43,7 @@
 
 // needsList reports whether this node must read the list.
 func (e *Engine) needsList() bool {
-	return e.reading.active || !e.members.hasRead || e.overlay.countEstablished() == 0
+	return e.sourceReader.active || !e.members.hasRead || e.overlay.countEstablished() == 0
 }
 
 // nextReadAt returns when to read the list next, with backoff after failed or isolated
@@ -54,7 +54,7 @@
 		return e.now
 	case m.failures > 0:
 		return e.now.Add(e.backoff(m.failures, e.timing.BackoffMin, e.timing.BackoffMax))
-	case e.reading.active:
+	case e.sourceReader.active:
 		return latest(e.now, m.lastReadAt.Add(minListInterval))
 	default:
 		return e.now.Add(e.backoff(m.isolatedReads, minListInterval, e.timing.BackoffMax))
@@ -65,7 +65,7 @@
 	m := &e.members
 	m.request = e.newRequest()
 	m.lastReadAt = e.now
-	m.longPolling = e.reading.active && m.etag != ""
+	m.longPolling = e.sourceReader.active && m.etag != ""
 	m.isolatedReads++
 	if e.overlay.countEstablished() > 0 {
 		m.isolatedReads = 0
@@ -79,7 +79,7 @@
 
 // readingChanged cancels a long poll of the list when the node stops being a reader.
 func (m *membersState) readingChanged(e *Engine) {
-	if !e.reading.active && m.longPolling && m.request != 0 {
+	if !e.sourceReader.active && m.longPolling && m.request != 0 {
 		e.act(CancelRequest{Request: m.request})
 		m.request = 0
 		m.longPolling = false
@@ -97,15 +97,15 @@
 		m.failures = 0
 		m.hasRead = true
 		m.etag = event.ETag
-		e.mergeListed(e.list.changes(event.Members, event.Revision, e.now), 0)
+		e.mergeListed(e.list.storeRead(event.Members, event.Revision, e.now), 0)
 		e.markFleetChanged(e.overlay.countEstablished() == 0)
 		e.overlayChanged()
 	case source.StatusNotModified:
 		m.failures = 0
 		m.hasRead = true
-		e.mergeListed(e.list.confirmed(event.Revision), 0)
+		e.mergeListed(e.list.storeUnchanged(event.Revision), 0)
 	default:
 		m.failures++
-		m.askAt = e.now.Add(e.readDelay(event.Outcome, m.failures))
+		m.nextRequestAt = e.now.Add(e.retryDelay(event.Outcome, m.failures))
 	}
 }
--- a/internal/distribution/polling.go
+++ b/internal/distribution/polling.go
@@ -10,27 +10,27 @@
 
 // pollSource asks the source for a revision newer than the one held or last seen.
 func (e *Engine) pollSource() {
-	r := &e.reading
+	r := &e.sourceReader
 	r.poll = e.newRequest()
 	r.polledAt = e.now
 	r.pollAt = time.Time{}
 	r.defersToLeader = false
 	after := max(e.push.heldVersion().Revision, r.head.Revision)
-	e.act(AwaitSource{Request: r.poll, After: after, Wait: e.pollWait(), Gather: e.changePollInterval()})
+	e.act(AwaitSource{Request: r.poll, After: after, Wait: e.pollWait(), MinInterval: e.changePollInterval()})
 }
 
 // pollWait returns how long the source may hold the next poll (long polling). After a poll
 // that was not answered it is zero, so that a further lost poll costs only the time of an
 // answer, and the next poll shows that the source has recovered.
 func (e *Engine) pollWait() time.Duration {
-	if !e.reading.lastPollAnswered {
+	if !e.sourceReader.lastPollAnswered {
 		return 0
 	}
 	return e.timing.SourceWait
 }
 
 func (e *Engine) fetchSource() {
-	r := &e.reading
+	r := &e.sourceReader
 	r.fetchAt = time.Time{}
 	if !r.head.Newer(e.push.newestVersion()) || e.push.refusals.has(wire.Short(r.head)) {
 		return // a peer delivered it first
@@ -40,7 +40,7 @@
 }
 
 func (event SourceRevision) apply(e *Engine) {
-	r := &e.reading
+	r := &e.sourceReader
 	if event.Request != r.poll || r.poll == 0 {
 		return
 	}
@@ -75,10 +75,10 @@
 
 // updateHead processes the newest version that the source reports.
 func (e *Engine) updateHead(version snapshot.Version, isNewer bool) {
-	r := &e.reading
+	r := &e.sourceReader
 	held := e.push.heldVersion()
 	e.reportConflict(version, "the source")
-	isStale := version.Revision < held.Revision.OfSource()
+	isStale := version.Revision < held.Revision.Unmarked()
 	if isStale && !r.staleLogged {
 		e.log(LogWarning, "the source is stale: it serves %s, but %s is in force", version, held)
 	}
@@ -104,7 +104,7 @@
 }
 
 func (event SourceDocument) apply(e *Engine) {
-	r := &e.reading
+	r := &e.sourceReader
 	if event.Request != r.fetch || r.fetch == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 // reader whose reads fail resigns: the next node in its group reads as well, while it keeps
 // trying itself.
 func (e *Engine) recordOutcome(outcome source.Outcome) bool {
-	r := &e.reading
+	r := &e.sourceReader
 	ok := outcome.Status == source.StatusFresh || outcome.Status == source.StatusNotModified
 	was := r.resigned
 	switch {
@@ -156,7 +156,7 @@
 }
 
 func (e *Engine) logResigned(outcome source.Outcome) {
-	if e.reading.resigned {
+	if e.sourceReader.resigned {
 		e.log(LogWarning, "cannot read the source: %v", outcome.Err)
 		return
 	}
@@ -165,10 +165,10 @@
 
 // sourceRetryDelay returns how long to wait after a failed read of the source.
 func (e *Engine) sourceRetryDelay(outcome source.Outcome) time.Duration {
-	return e.readDelay(outcome, e.reading.failures)
+	return e.retryDelay(outcome, e.sourceReader.failures)
 }
 
-// readDelay returns how long to wait after a number of failed reads in a row.
-func (e *Engine) readDelay(outcome source.Outcome, failures int) time.Duration {
+// retryDelay returns how long to wait after a number of failed reads in a row.
+func (e *Engine) retryDelay(outcome source.Outcome, failures int) time.Duration {
 	return min(outcome.RetryAfter, e.timing.RetryAfterMax) + e.backoff(failures, e.timing.BackoffMin, e.timing.BackoffMax)
 }
--- a/internal/distribution/push.go
+++ b/internal/distribution/push.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// versionSeen processes the version that a peer says it holds.
-func (e *Engine) versionSeen(l *link) {
+// peerVersionChanged processes the version that a peer says it holds.
+func (e *Engine) peerVersionChanged(l *link) {
 	if e.push.document(l.held) == nil {
 		e.reportConflict(l.held.Padded(), "peer "+string(l.node))
 	}
@@ -167,7 +167,7 @@
 			delete(e.push.pulls, version) // the peer does not hold it after all
 		}
 	}
-	e.versionSeen(l)
+	e.peerVersionChanged(l)
 }
 
 // onPull answers with the version in force, as a delta if the peer's base is still kept.
@@ -221,14 +221,14 @@
 	case base != nil && base.Version().Revision == m.Base:
 		from = base.Version()
 	case answered:
-		e.faulty(l, "it sent a delta from a revision that the request did not name")
+		e.closeFaultyLink(l, "it sent a delta from a revision that the request did not name")
 		return
 	default:
 		return
 	}
 	document, err := m.Delta(from).Apply(base)
 	if err != nil {
-		e.faulty(l, "it sent an invalid update: "+err.Error())
+		e.closeFaultyLink(l, "it sent an invalid update: "+err.Error())
 		return
 	}
 	l.held = wire.Short(m.Target)
@@ -268,12 +268,12 @@
 	if newest == nil || !document.Version().Newer(newest.Version()) {
 		return document
 	}
-	kept, err := document.KeepingNewerConfiguration(newest)
+	kept, err := document.WithNewerConfiguration(newest)
 	if err != nil {
 		e.log(LogWarning, "cannot keep the configuration of %s with the instances of %s: %v", newest.Version(), document.Version(), err)
 		return newest
 	}
-	if kept != document && !newest.Version().Revision.IsKeeping() {
+	if kept != document && !newest.Version().Revision.KeepsConfiguration() {
 		e.log(LogWarning, "the source was restored with configuration %d; keeping %d until the source serves one that is not older",
 			document.Origin().Number, newest.Origin().Number)
 	}
--- a/internal/distribution/records.go
+++ b/internal/distribution/records.go
@@ -16,9 +16,9 @@
 type fleetState struct {
 	// published is this node's record as last put into the outbox.
 	published membership.Record
-	// tellAt is when to report the changed fleet to the Adopter, notifiedAt when it was
-	// last reported; a zero tellAt means unchanged.
-	tellAt     time.Time
+	// notifyAt is when to report the changed fleet to the Adopter, notifiedAt when it was
+	// last reported; a zero notifyAt means unchanged.
+	notifyAt   time.Time
 	notifiedAt time.Time
 	expireAt   time.Time
 }
@@ -62,8 +62,8 @@
 	p.items[key] = pendingItem[T]{item: item, knownBy: []LinkID{from}}
 }
 
-// heard notes that a link's peer has the same item for a key.
-func (p *pending[K, T]) heard(key K, same func(T) bool, from LinkID) {
+// markKnown marks the item for a key as known to a link's peer, if the peer has the same item.
+func (p *pending[K, T]) markKnown(key K, same func(T) bool, from LinkID) {
 	held, present := p.items[key]
 	if present && same(held.item) && !slices.Contains(held.knownBy, from) {
 		held.knownBy = append(held.knownBy, from)
@@ -98,7 +98,7 @@
 	}
 	if len(added) < len(records) {
 		for _, record := range records {
-			e.outbox.records.heard(record.Node, func(held membership.Record) bool { return held == record }, from)
+			e.outbox.records.markKnown(record.Node, func(held membership.Record) bool { return held == record }, from)
 		}
 	}
 	if len(added) > 0 {
@@ -187,11 +187,11 @@
 // markFleetChanged schedules the publication of the table's new view, immediately if
 // now is set.
 func (e *Engine) markFleetChanged(now bool) {
-	if e.fleet.tellAt.IsZero() {
-		e.fleet.tellAt = latest(e.now.Add(e.timing.ViewWindow), e.fleet.notifiedAt.Add(e.timing.ViewInterval))
+	if e.fleet.notifyAt.IsZero() {
+		e.fleet.notifyAt = latest(e.now.Add(e.timing.ViewWindow), e.fleet.notifiedAt.Add(e.timing.ViewInterval))
 	}
 	if now {
-		e.fleet.tellAt = e.now
+		e.fleet.notifyAt = e.now
 	}
 }
 
@@ -204,10 +204,10 @@
 		}
 		e.forgetPeers()
 	}
-	if !e.passed(e.fleet.tellAt) {
+	if !e.passed(e.fleet.notifyAt) {
 		return
 	}
-	e.fleet.tellAt = time.Time{}
+	e.fleet.notifyAt = time.Time{}
 	e.fleet.notifiedAt = e.now
 	view := e.table.View()
 	if view == e.view {
--- a/internal/distribution/refusals.go
+++ b/internal/distribution/refusals.go
@@ -59,7 +59,7 @@
 // this node adopts depends on its own Adopter.
 func (e *Engine) onRefusal(l *link, m *wire.Refusal) {
 	if len(m.Reason) > maxReasonBytes {
-		e.faulty(l, "it sent a refusal reason above the size limit")
+		e.closeFaultyLink(l, "it sent a refusal reason above the size limit")
 		return
 	}
 	e.floodRefusal(*m, l.id)
@@ -80,9 +80,9 @@
 	e.send(&refusal, e.overlay.establishedIDs(func(l *link) bool { return l.id != from })...)
 }
 
-// forgetPassedOn removes the forwarded refusals of versions that are not newer than the
+// forgetForwarded removes the forwarded refusals of versions that are not newer than the
 // one in force.
-func (r *refusals) forgetPassedOn(held snapshot.Version) {
+func (r *refusals) forgetForwarded(held snapshot.Version) {
 	for version := range r.forwarded {
 		if !version.Newer(held) {
 			delete(r.forwarded, version)
--- a/internal/distribution/restore_test.go
+++ b/internal/distribution/restore_test.go
@@ -42,8 +42,8 @@
 	actions := b.engine.Handle(now, event)
 	for i, action := range actions {
 		if send, ok := action.(distribution.Send); ok && send.Type == wire.TypeHello {
-			send.Frame = changed(send.Frame, func(hello *wire.Hello) {
-				if hello.Purpose.TakesOrigins() {
+			send.Frame = withChangedHello(send.Frame, func(hello *wire.Hello) {
+				if hello.Purpose.AcceptsOrigins() {
 					hello.Purpose = wire.PurposeLinkWithChanges
 				}
 			})
@@ -84,7 +84,7 @@
 			f.Platform.SetDown(false)
 			kept, err := f.Platform.Restore(numberedDocument(snapshot.NewRevision(2, 30), 17, "i-1", "i-2"))
 			c.Assert(err, qt.IsNil)
-			c.Assert(kept.Version().Revision.IsKeeping(), qt.IsTrue)
+			c.Assert(kept.Version().Revision.KeepsConfiguration(), qt.IsTrue)
 			c.Assert(f.RunUntil(5*time.Second, holds(kept.Version())), qt.IsTrue, qt.Commentf("the restored source"))
 			f.Kill(f.Machines()[1])
 			f.Run(100 * time.Millisecond)
@@ -94,13 +94,14 @@
 			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("the configuration written again"))
 			f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 32), 21, "i-2"), "")
 			c.Check(f.RunUntil(within, holds(f.Platform.Current())), qt.IsTrue, qt.Commentf("the next configuration"))
-			c.Check(f.Broken(), qt.HasLen, 0)
+			c.Check(f.Violations(), qt.HasLen, 0)
 		})
 	}
 }
 
 // TestRestoreDuringUpgradeFromBuildWithoutOrigins checks a restore while half of the nodes run a
-// build without origins. Those adopt the configuration in the backup as a newer one; they stay in
+// build that does not know the Origin of a document (which configuration of the operators it has).
+// Those nodes can't tell that the configuration in the backup is older, and adopt it. They stay in
 // the fleet, and the next configuration reaches all nodes.
 func TestRestoreDuringUpgradeFromBuildWithoutOrigins(t *testing.T) {
 	const (
@@ -128,7 +129,7 @@
 	f.Run(within)
 	f.Platform.Publish(numberedDocument(snapshot.NewRevision(2, 31), 20, "i-1", "i-2"), "")
 	c.Check(f.RunUntil(within, allHold), qt.IsTrue)
-	c.Check(f.Broken(), qt.HasLen, 0)
+	c.Check(f.Violations(), qt.HasLen, 0)
 }
 
 // TestUpgradeFromReadersWithoutEpochs checks that changes reach all nodes during an upgrade from a
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// isLate reports whether the process ran late within LateMemory, so that its own
+// isLate reports whether the process ran late within LatePeriod, so that its own
 // timeouts are no evidence against a peer.
 func (e *Engine) isLate() bool {
-	return !e.start.lateAt.IsZero() && e.now.Sub(e.start.lateAt) < e.timing.LateMemory
+	return !e.start.lateAt.IsZero() && e.now.Sub(e.start.lateAt) < e.timing.LatePeriod
 }
 
 // onWakeUp handles a process that was suspended, whose state may be outdated. It asks its
@@ -90,7 +90,7 @@
 func (e *Engine) onWakeUp() {
 	e.log(LogInfo, "slept for %s; checking its links before it reads the source again", e.now.Sub(e.wakeAt).Round(time.Millisecond))
 	e.start.recheckUntil = e.now.Add(e.timing.RecheckWait)
-	e.reading.confirmedAt = time.Time{}
+	e.sourceReader.confirmedAt = time.Time{}
 	for version, pull := range e.push.pulls {
 		pull.sentAt = e.now
 		e.push.pulls[version] = pull
@@ -140,9 +140,9 @@
 	return !e.now.Before(s.settledAt)
 }
 
-// justSettled reports whether the node settled less than StandInDelay ago.
+// justSettled reports whether the node settled less than TakeOverDelay ago.
 func (s *startState) justSettled(e *Engine) bool {
-	return s.settled(e) && e.now.Sub(s.settledAt) < e.timing.StandInDelay
+	return s.settled(e) && e.now.Sub(s.settledAt) < e.timing.TakeOverDelay
 }
 
 // fleetKnown reports whether a node that got its version from a peer knows enough of
@@ -154,7 +154,7 @@
 	switch {
 	case s.knowsFleet:
 	case e.members.hasRead || len(e.list.entries) > 0:
-		s.knowsFleet = e.fleet.tellAt.IsZero()
+		s.knowsFleet = e.fleet.notifyAt.IsZero()
 	default:
 		s.knowsFleet = !e.now.Before(s.startedAt.Add(e.timing.StartListWait))
 	}
@@ -165,9 +165,9 @@
 // found none that holds one. It probes peers as needed.
 func (s *startState) peersHoldNothing(e *Engine) bool {
 	if e.push.newest() != nil {
-		return e.reading.active // a verified document is about to be adopted
+		return e.sourceReader.active // a verified document is about to be adopted
 	}
-	if len(e.offers()) > 0 || len(e.push.pulls) > 0 {
+	if len(e.linksWithNewerVersion()) > 0 || len(e.push.pulls) > 0 {
 		return false
 	}
 	if !s.listSettled(e) {
@@ -179,7 +179,7 @@
 			return false
 		}
 	}
-	return !e.now.Before(s.startedAt.Add(e.timing.ColdWait))
+	return !e.now.Before(s.startedAt.Add(e.timing.MinStartWait))
 }
 
 // listSettled reports whether the list was read and is in the view, or cannot be read.
@@ -187,7 +187,7 @@
 // until StartListWait has passed.
 func (s *startState) listSettled(e *Engine) bool {
 	if e.members.hasRead {
-		return e.fleet.tellAt.IsZero()
+		return e.fleet.notifyAt.IsZero()
 	}
 	return e.members.failures > 0 && !e.now.Before(s.startedAt.Add(e.timing.StartListWait))
 }
@@ -205,7 +205,7 @@
 		return
 	}
 	waits := [...]time.Time{
-		s.startedAt.Add(e.timing.StartPeerWait), s.startedAt.Add(e.timing.ColdWait), s.firstProbeAt.Add(e.timing.StartPeerWait),
+		s.startedAt.Add(e.timing.StartPeerWait), s.startedAt.Add(e.timing.MinStartWait), s.firstProbeAt.Add(e.timing.StartPeerWait),
 	}
 	for _, wait := range waits {
 		if wait.After(e.now) {
--- a/internal/mirror/relist_test.go
+++ b/internal/mirror/relist_test.go
@@ -127,18 +127,18 @@
 	}
 }
 
-// TestListWithABadConfigurationIsNotOlder: a node that resumes reading after a long time
+// TestNoDocumentFromListWithInvalidConfiguration: a node that resumes reading after a long time
 // lists a store whose current configuration is invalid. The configuration that it read last may be
 // outdated, and a document with it would remove newer routes. The node must build no document until
 // it reads a valid configuration, but it still publishes instance changes.
-func TestListWithABadConfigurationIsNotOlder(t *testing.T) {
+func TestNoDocumentFromListWithInvalidConfiguration(t *testing.T) {
 	c := qt.New(t)
 	r := newHarness(t, timeout)
 	r.store.Put("op/config", configuration(1, "a"))
 	r.store.Put("servers/i-1", instance("a", "10.0.0.1:80", "ready"))
 	first := r.follow(c, 0)
 	published := make(chan snapshot.Change, 10)
-	r.mirror.TellChanges(func(changes []snapshot.Change) {
+	r.mirror.OnChanges(func(changes []snapshot.Change) {
 		for _, change := range changes {
 			published <- change
 		}
--- a/internal/mirror/state.go
+++ b/internal/mirror/state.go
@@ -13,7 +13,8 @@
 	"github.com/winchhead/winchhead/internal/snapshot"
 )
 
-// state is the relevant content of the store at a revision.
+// state is the content of the store that nodes use (configuration, instances and evacuations) at
+// one revision.
 type state struct {
 	// revision is the revision up to which changes are applied.
 	revision snapshot.Revision
@@ -89,7 +90,7 @@
 // validateItem returns the reason why an item cannot be applied, or nil.
 func validateItem(item Item, options Options) error {
 	switch {
-	case item.Fault != nil || item.Gone:
+	case item.Fault != nil || item.Removed:
 		return item.Fault
 	case item.Instance != nil:
 		return item.Instance.Check()
@@ -140,11 +141,11 @@
 	switch {
 	case item.Kind == KindConfiguration && item.Configuration != nil:
 		s.configuration = item.Configuration
-	case item.Kind == KindInstance && item.Gone:
+	case item.Kind == KindInstance && item.Removed:
 		delete(s.instances, item.Key)
 	case item.Kind == KindInstance && item.Instance != nil:
 		s.instances[item.Key] = *item.Instance
-	case item.Kind == KindEvacuation && item.Gone:
+	case item.Kind == KindEvacuation && item.Removed:
 		delete(s.evacuations, item.Key)
 	case item.Kind == KindEvacuation && item.Evacuation != nil:
 		s.evacuations[item.Key] = *item.Evacuation
@@ -162,7 +163,7 @@
 	}
 	for key, instance := range previous.instances {
 		if _, listed := s.instances[key]; !listed {
-			changed = append(changed, Item{Kind: KindInstance, Key: key, Name: instance.Name, Revision: s.revision, Gone: true})
+			changed = append(changed, Item{Kind: KindInstance, Key: key, Name: instance.Name, Revision: s.revision, Removed: true})
 		}
 	}
 	for key, evacuation := range s.evacuations {
@@ -172,15 +173,15 @@
 	}
 	for key, evacuation := range previous.evacuations {
 		if _, listed := s.evacuations[key]; !listed {
-			changed = append(changed, Item{Kind: KindEvacuation, Key: key, Name: evacuation.Zone, Revision: s.revision, Gone: true})
+			changed = append(changed, Item{Kind: KindEvacuation, Key: key, Name: evacuation.Zone, Revision: s.revision, Removed: true})
 		}
 	}
 	return changed
 }
 
-// newerInstancesSince returns the changes from a previous state that are certain when this state was
-// read from a restored store: instance entries that are later than the previous ones. What a restored
-// store lacks may not have been written again yet, and an evacuation it holds may have been ended.
+// newerInstancesSince returns the instance entries that are newer than those of a previous state.
+// After the store was restored from a backup, only these count as changes: an entry that is missing
+// may not have been written again yet, and an evacuation may have been ended since the backup.
 func (s *state) newerInstancesSince(previous state) (changed []Item) {
 	for _, item := range s.changedSince(previous) {
 		held, listed := previous.instances[item.Key]
@@ -241,7 +242,7 @@
 	return listed
 }
 
-// members returns the nodes beside the instances, sorted and without duplicates.
+// members returns the sidecars of the instances, sorted and without duplicates.
 func (s *state) members(memberOf func(snapshot.Instance) (membership.ListedMember, bool)) []membership.ListedMember {
 	var members []membership.ListedMember
 	for _, instance := range s.instances {
--- a/internal/snapshot/change.go
+++ b/internal/snapshot/change.go
@@ -27,8 +27,8 @@
 	return Change{Revision: revision, Key: Key{Kind: KindInstance, Name: instance.Name}, Instance: &instance}
 }
 
-// InstanceGone returns the change that removes the instance of a name.
-func InstanceGone(revision Revision, name string) Change {
+// InstanceRemoval returns the change that removes the instance of a name.
+func InstanceRemoval(revision Revision, name string) Change {
 	return Change{Revision: revision, Key: Key{Kind: KindInstance, Name: name}}
 }
 
@@ -49,9 +49,9 @@
 	}
 }
 
-// ChangeOf decodes a change from a resource in encoded form, or returns an error if the resource is
+// DecodeChange decodes a change from a resource in encoded form, or returns an error if the resource is
 // not a valid change.
-func ChangeOf(revision Revision, resource Resource) (Change, error) {
+func DecodeChange(revision Revision, resource Resource) (Change, error) {
 	change := Change{Revision: revision, Key: resource.Key}
 	if revision == 0 {
 		return change, eris.Errorf("%s: the change has no revision", resource.Key)
@@ -100,8 +100,8 @@
 	return added
 }
 
-// DropUpTo drops the changes that are included in the document of a revision.
-func (c *Changes) DropUpTo(document Revision) {
+// DropThrough drops the changes that are included in the document of a revision.
+func (c *Changes) DropThrough(document Revision) {
 	maps.DeleteFunc(c.byKey, func(_ Key, change Change) bool { return change.Revision <= document })
 }
 
@@ -130,8 +130,8 @@
 	return content
 }
 
-// OfFormerEpochs returns the changes made before an epoch.
-func (c *Changes) OfFormerEpochs(epoch uint64) (found []Change) {
+// BeforeEpoch returns the changes made before an epoch.
+func (c *Changes) BeforeEpoch(epoch uint64) (found []Change) {
 	for _, change := range c.byKey {
 		if change.Revision.Epoch() < epoch {
 			found = append(found, change)
--- a/test/integration/claims_test.go
+++ b/test/integration/claims_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestKeyRunsOnceWhenItsNodesAreKilled runs a booking with a key, then kills and replaces
-// both nodes that know of it: the caller's edge and the sidecar of the back end that ran
+// both nodes that know of it: the caller's edge and the sidecar of the backend that ran
 // it. Repeating the booking through the other edge must not run it again.
 func TestKeyRunsOnceWhenItsNodesAreKilled(t *testing.T) {
 	t.Parallel()
@@ -32,7 +32,7 @@
 		qt.Assert(t, lost.Kill(), qt.IsNil)
 		qt.Assert(t, lost.Start(ctx), qt.IsNil)
 	}
-	qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+	qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 
 	// Until the edge knows the new processes, it may refuse the booking as not run.
 	again := load.Send(transport, running.Node("edge-2").Outbound(), booking, time.Now())
@@ -44,7 +44,7 @@
 	qt.Check(t, runsOf(running, booking.IdempotencyKey), qt.Equals, 1)
 }
 
-// nodeThatRan returns the node beside the back end that ran the booking with the key.
+// nodeThatRan returns the sidecar of the backend that ran the booking with the key.
 func nodeThatRan(t testing.TB, running *mesh.Mesh, key string) *mesh.Node {
 	for _, instance := range running.Backends() {
 		if instance.Journal().Key(key).Started > 0 {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// runsOf returns how often the booking with the key ran on all back ends.
+// runsOf returns how often the booking with the key ran on all backends.
 func runsOf(running *mesh.Mesh, key string) int {
 	total := 0
 	for _, instance := range running.Backends() {
--- a/test/integration/examples_test.go
+++ b/test/integration/examples_test.go
@@ -18,7 +18,7 @@
 var routeTimeout = regexp.MustCompile(`timeout = "[0-9]+m?s"`)
 
 // TestExamples runs each example deployment with real processes and sends its workload.
-// Every call must be answered, and the journals of the back ends must agree.
+// Every call must be answered, and the journals of the backends must agree.
 func TestExamples(t *testing.T) {
 	t.Parallel()
 	const callsPerSecond, seconds = 100, 2
@@ -41,7 +41,7 @@
 			running, err := mesh.Start(ctx, mesh.Options{Deployment: plan, Binary: winchheadBinary, Logs: nodeLogs(t)})
 			qt.Assert(t, err, qt.IsNil)
 			t.Cleanup(func() { qt.Check(t, running.Close(), qt.IsNil) })
-			qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+			qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 			record, err := load.Run(ctx, load.Options{
 				Rate: callsPerSecond, Duration: seconds * time.Second, Entries: running.Entries,
 				Plan: workload.Planner(name, 1), Transport: load.NewTransport(),
--- a/test/integration/faults_test.go
+++ b/test/integration/faults_test.go
@@ -23,8 +23,8 @@
 	guaranteeInForce     = "An accepted configuration is in force on every proxy within seconds and never reverts."
 )
 
-// targetNode is the node whose hops, process or back end the rows disturb. The other node
-// beside a back end is left alone.
+// targetNode is the node whose hops, process or backend the rows disturb. The sidecar of
+// the other backend is left alone.
 const targetNode = "booking-1"
 
 // faultRow is a fault and the results that callers may see during it. In every row the
@@ -38,7 +38,7 @@
 	// timeout is the timeout of the calls. Zero means callTimeout.
 	timeout time.Duration
 	// allowed lists the results that calls may have besides Answered. Calls with a short
-	// timeout may be Rejected: the back end itself answers that their time is over.
+	// timeout may be Rejected: the backend itself answers that their time is over.
 	allowed []load.Class
 	// awaited lists results of which at least one must occur during the fault.
 	awaited []load.Class
@@ -75,7 +75,7 @@
 	return row
 }
 
-// withBehavior returns the row with a changed behavior of the back end.
+// withBehavior returns the row with a changed behavior of the backend.
 func withBehavior(row faultRow, behavior backend.Behavior) faultRow {
 	row.begin = func(_ context.Context, m *mesh.Mesh) error { m.Backend(targetNode).Configure(behavior); return nil }
 	row.end = func(_ context.Context, m *mesh.Mesh) error {
@@ -97,12 +97,12 @@
 	shortTimeout  = 500 * time.Millisecond
 	linkDelay     = 30 * time.Millisecond
 	cutAfterBytes = 30_000
-	// brokenAnswers is the number of answers that the back end breaks: more than a row has, so
+	// brokenAnswers is the number of answers that the backend breaks: more than a row has, so
 	// that all are broken until the row ends.
 	brokenAnswers = 1 << 30
 )
 
-// falseLoad is the load that a back end falsely reports.
+// falseLoad is the load that a backend falsely reports.
 var falseLoad = 1.0
 
 // faultRows are the tested faults. Each begins while calls are in progress.
@@ -148,7 +148,7 @@
 	}, backend.Behavior{Health: backend.HealthFailing}),
 	withBehavior(faultRow{
 		name: "load endpoint falsely reports full load", guarantee: guaranteeHealth, awaited: []load.Class{load.Answered},
-	}, backend.Behavior{LoadLie: &falseLoad}),
+	}, backend.Behavior{FalseLoad: &falseLoad}),
 	withFault(faultRow{
 		name: "back end stalled", guarantee: guaranteeWholeAnswer, timeout: shortTimeout,
 		allowed: []load.Class{load.NotRun, load.Unknown, load.Cut, load.Late, load.Rejected}, awaited: []load.Class{load.Unknown}, journal: ran,
@@ -194,8 +194,8 @@
 	},
 	{
 		name: "configuration source down", guarantee: guaranteeInForce,
-		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Platform.Outage() },
-		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Platform.Return() },
+		begin:   func(_ context.Context, m *mesh.Mesh) error { return m.Platform.BeginOutage() },
+		end:     func(_ context.Context, m *mesh.Mesh) error { return m.Platform.EndOutage() },
 		awaited: []load.Class{load.Answered},
 	},
 }
@@ -234,7 +234,7 @@
 	})
 	calling.awaitSince(ctx, t, before, callsDuring, nil)
 	qt.Assert(t, row.end(ctx, running), qt.IsNil)
-	qt.Assert(t, running.AwaitWhole(ctx), qt.IsNil)
+	qt.Assert(t, running.AwaitComplete(ctx), qt.IsNil)
 	_, err := running.AwaitRevision(ctx, revision)
 	qt.Assert(t, err, qt.IsNil)
 	calling.awaitMore(ctx, t, callsBefore, answered)
